--- a/src/marlramp/core/agent_table.py
+++ b/src/marlramp/core/agent_table.py
@@ -1,4 +1,4 @@
-"""What one entry knows of the agents linked to it."""
+"""State that one entry keeps of the agents linked to it."""
 
 from __future__ import annotations
 
@@ -16,35 +16,40 @@
 from marlramp.settings import schema
 
 HEARD_TIMEOUT_MS = 5_000.0
-"""An agent silent for longer is treated as lost."""
+"""Time without any message after which an agent is treated as lost."""
 
 FIRST_TOKEN_DEFAULT_MS = 100.0
+"""Time to first token assumed for an agent without any answers."""
+
 SMOOTHING = 0.2
+"""Weight of the latest sample in the smoothed time to first token."""
+
 PREFIXES_MAX = 64
+"""Most prompt prefixes kept for one agent."""
 
 
 class AgentInfo:
-    """One agent as this entry sees it.
+    """State of one agent as this entry sees it.
 
     Attributes:
-      report: its last report.
-      heartbeat: its last heartbeat, None before the first.
-      heard_ms: when anything was last heard from it.
-      heartbeat_ms: when the last heartbeat came.
-      in_flight: this entry's requests there.
+      report: the agent's latest report.
+      heartbeat: the agent's latest heartbeat, None before the first.
+      heard_ms: when the latest message of any kind arrived.
+      heartbeat_ms: when the latest heartbeat arrived.
+      in_flight: number of this entry's requests at the agent.
       first_token_ms: smoothed time to first token.
-      breaker: its circuit breaker.
-      prefixes: digests of prompt prefixes believed cached.
-      listed_leaving: whether the platform lists it as leaving.
-      ahead: whether it may have newer settings than this entry; work goes to
-        it only when that is ruled out.
-      counters: its counters as last sent.
+      breaker: the agent's circuit breaker.
+      prefixes: digests of prompt prefixes that the upstream probably caches.
+      listed_leaving: whether the platform lists the agent as leaving.
+      ahead: whether the agent may have newer settings than this entry; the
+        entry sends it work only once that is ruled out.
+      counters: the agent's counters as it last sent them.
     """
 
     def __init__(
         self, report: messages.AgentReport, new_breaker: breaker.Breaker
     ) -> None:
-        """Starts from the agent's first report."""
+        """Creates the state from the agent's first report."""
         self.report = report
         self.heartbeat: messages.AgentHeartbeat | None = None
         self.heard_ms = 0.0
@@ -64,22 +69,30 @@
 
     @property
     def takes_work(self) -> bool:
-        """Whether the agent said it takes work and is not listed leaving."""
+        """Whether the agent reports ready and is not listed as leaving."""
         ready = self.report.state is messages.AgentState.READY
         return ready and not self.listed_leaving
 
     def record_first_token(self, taken_ms: float) -> None:
-        """Smooths the time to first token seen at this agent."""
+        """Updates the smoothed time to first token.
+
+        Args:
+          taken_ms: time to first token of one request at this agent.
+        """
         self.first_token_ms += SMOOTHING * (taken_ms - self.first_token_ms)
 
 
 class AgentTable:
-    """Agents by VM, their grants and what routing needs to know."""
+    """Agents by VM, their grants and their state for routing."""
 
     def __init__(
         self, settings_of: Callable[[ids.ServiceId], schema.Settings]
     ) -> None:
-        """Takes the settings in force for a service."""
+        """Creates an empty table.
+
+        Args:
+          settings_of: returns the settings in force for a service.
+        """
         self.wallet = wallet.GrantWallet()
         self._agents: dict[ids.VmId, AgentInfo] = {}
         self._settings_of = settings_of
@@ -89,16 +102,17 @@
         return iter(self._agents.values())
 
     def get(self, vm_id: ids.VmId) -> AgentInfo | None:
-        """Returns an agent, None if it is unknown."""
+        """Returns an agent's state, None if the agent is unknown."""
         return self._agents.get(vm_id)
 
     def report(
         self, message: messages.AgentReport, now_ms: clock.Millis
     ) -> bool:
-        """Takes an agent's report.
+        """Records an agent's report.
 
         Returns:
-          Whether it replaces an earlier incarnation, whose runs are lost.
+          Whether the report replaces an earlier incarnation, whose runs are
+          lost.
         """
         vm_id = ids.VmId(message.vm_id)
         known = self._agents.get(vm_id)
@@ -121,7 +135,7 @@
         return restarted
 
     def settings_changed(self) -> None:
-        """Applies settings that came into force."""
+        """Applies changed settings to the circuit breakers of all agents."""
         for info in self._agents.values():
             values = self._settings_of(ids.ServiceId(info.report.service_id))
             info.breaker.configure(
@@ -134,7 +148,7 @@
         message: messages.AgentHeartbeat,
         now_ms: clock.Millis,
     ) -> None:
-        """Takes an agent's heartbeat."""
+        """Records an agent's heartbeat; ignores unknown agents."""
         info = self._agents.get(vm_id)
         if info is not None:
             info.heartbeat = message
@@ -142,18 +156,18 @@
             info.heartbeat_ms = now_ms
 
     def heard(self, vm_id: ids.VmId, now_ms: clock.Millis) -> None:
-        """Records that an agent sent anything at all."""
+        """Records that an agent sent a message of any kind."""
         info = self._agents.get(vm_id)
         if info is not None:
             info.heard_ms = now_ms
 
     def remove(self, vm_id: ids.VmId) -> None:
-        """Forgets an agent."""
+        """Removes an agent and its grants."""
         self._agents.pop(vm_id, None)
         self.wallet.drop(vm_id)
 
     def silent(self, now_ms: clock.Millis) -> list[ids.VmId]:
-        """Returns the agents not heard from for too long."""
+        """Returns the agents that sent nothing for `HEARD_TIMEOUT_MS`."""
         return [
             vm_id
             for vm_id, info in self._agents.items()
@@ -161,7 +175,7 @@
         ]
 
     def serving(self, service_id: ids.ServiceId) -> list[AgentInfo]:
-        """Returns the agents of a service that take work."""
+        """Returns the agents of a service that accept work."""
         return [
             info
             for info in self._agents.values()
@@ -171,7 +185,7 @@
     def replicas(
         self, service_id: ids.ServiceId, now_ms: clock.Millis
     ) -> list[swap.Replica]:
-        """Returns the replicas of a service for decisions about swaps."""
+        """Returns the replicas of a service as swap permits consider them."""
         return [
             swap.Replica(
                 info.vm_id,
@@ -188,13 +202,13 @@
         prefix: str,
         now_ms: clock.Millis,
     ) -> list[routing.Candidate]:
-        """Returns the upstreams that can take a request now.
+        """Returns the upstreams that can receive a request now.
 
         Args:
           service_id: the service.
-          version: version the upstream must serve, empty for any.
+          version: version that the upstream must serve, empty for any.
           prefix: digest of the prompt prefix, empty for none.
-          now_ms: the entry's time.
+          now_ms: time on the entry's clock.
         """
         serving = self.serving(service_id)
         allowing = sum(1 for info in serving if info.breaker.allows(now_ms))
--- a/src/marlramp/core/crash_ledger.py
+++ b/src/marlramp/core/crash_ledger.py
@@ -1,12 +1,13 @@
-"""Which requests crash the replicas that run them, as entries tell each other.
-
-Load pattern: a request that ends each replica that runs it and comes again
-through any entry, beside requests that were under way at the same replicas by
-chance. All requests under way at a replica that crashed are its suspects. A
-request is condemned if it was under way at several crashes and is the likelier
-cause of them than everything else that was; one that ends well is cleared of a
-crash. What the entries know merges in any order, any number of times, to the
-same ledger, so that all of them condemn the same requests.
+"""Requests that crash replicas, as entries and agents report them by gossip.
+
+Load pattern: a request that crashes each replica that runs it is sent again
+through any entry, while other requests are in flight at these replicas by
+chance. All requests in flight at a replica that crashes are suspects of the
+crash. A request is blocked if it was in flight at several crashes and is the
+likelier cause of them than all other suspects and causes together. A request
+that succeeds is cleared of a crash. Updates from other processes merge in any
+order, any number of times, to the same ledger, so that all entries block the
+same requests.
 """
 
 from __future__ import annotations
@@ -21,49 +22,51 @@
 from marlramp.core import bucket_digests
 
 STRIKES_MIN = 3.0
-"""Strikes of a request before it may be condemned."""
+"""Strikes that a request needs before it may be blocked."""
 
-BEGUN_STRIKE = 0.5
-"""Strike of a request that had brought a part of its answer: its prompt at
-least was read without a crash. One that had not counts as a whole strike."""
+PARTIAL_ANSWER_STRIKE = 0.5
+"""Strike of a request that had returned part of its answer: at least its prompt
+was processed without a crash. A request that had returned nothing counts as 1
+strike."""
 
-LIKELIER_POWER = 3.0
-"""How steeply the likelihood of being the cause rises with the strikes."""
+LIKELIHOOD_EXPONENT = 3.0
+"""Exponent that turns strikes into the likelihood of being the cause."""
 
 OTHER_CAUSE_STRIKES = 2.0
-"""Strikes of what is no request: machines, releases, operators."""
+"""Strikes of all causes other than requests: machines, releases, operators."""
 
-SHARE_MIN = 0.5
-"""Mean share of the likelihood of its crashes from which on a request is
-condemned: it is the likelier cause than all else together."""
+LIKELIHOOD_SHARE_MIN = 0.5
+"""Mean share of the likelihood of its crashes from which a request is blocked:
+it is then the likelier cause than all others together."""
 
 CRASHES_MAX = 512
-"""Crashes that are remembered, the latest ones."""
+"""Crashes that the ledger holds; the latest ones are kept."""
 
 CRASH_AGE_MAX_MS = 600_000.0
-"""How long a crash is remembered that no condemned request is blamed for."""
+"""Time for which a crash is kept that blocks no request."""
 
 BUCKETS = 64
-"""Parts of the ledger that are compared by themselves."""
+"""Buckets of the ledger whose digests are compared separately."""
 
 TRANSIT_MAX_MS = 1_000.0
-"""By how much a crash may seem younger than it is: its age, told as a duration,
-leaves out the time on the way at each process that passes it on."""
+"""Most by which a crash may seem younger than it is: its age is sent as a
+duration that omits the transit time of each hop."""
 
-TOLD_MAX = 32
-"""Crashes told in one answer: some 8 kB."""
+CRASHES_PER_ANSWER_MAX = 32
+"""Crashes in one answer, about 8 kB."""
 
-TOLD_CONDEMNED_MAX = 24
-"""The same of crashes that condemn a request, which are told first."""
+BLOCKING_PER_ANSWER_MAX = 24
+"""Crashes in one answer that block a request; they are sent first."""
 
 
 class Suspect(msgspec.Struct, frozen=True, array_like=True):
-    """A request that was under way at a replica when it crashed.
+    """A request that was in flight at a replica when the replica crashed.
 
     Attributes:
-      fingerprint: the request.
-      begun: whether it had brought a part of its answer.
-      cleared: whether it has ended well elsewhere for this crash.
+      fingerprint: the request's fingerprint.
+      begun: whether the request had returned part of its answer.
+      cleared: whether a successful run or an operator cleared the request of
+        this crash.
     """
 
     fingerprint: ids.Fingerprint
@@ -71,7 +74,7 @@
     cleared: bool = False
 
     def merged(self, other: Suspect) -> Suspect:
-        """Returns what two entries know together of the same suspect."""
+        """Returns the suspect with the knowledge of two processes combined."""
         return Suspect(
             self.fingerprint,
             self.begun and other.begun,
@@ -80,12 +83,12 @@
 
 
 class Crash(msgspec.Struct, frozen=True, array_like=True):
-    """A crash of a replica, as entries tell it.
+    """A crash of a replica, as processes send it to each other.
 
     Attributes:
       crash_id: the replica and its start.
-      age_ms: time since it was noticed.
-      suspects: requests that were under way there.
+      age_ms: time since the crash was first noticed.
+      suspects: the requests that were in flight at the replica.
     """
 
     crash_id: ids.CrashId
@@ -94,12 +97,12 @@
 
 
 class Evidence(msgspec.Struct, frozen=True):
-    """Why a request is condemned.
+    """Why a request is blocked.
 
     Attributes:
-      strikes: its strikes.
-      share: mean share of the likelihood of its crashes.
-      crash_ids: the crashes.
+      strikes: the strikes of the request.
+      share: mean share of the likelihood of the request's crashes.
+      crash_ids: the crashes that the request is a suspect of.
     """
 
     strikes: float
@@ -107,28 +110,33 @@
     crash_ids: list[ids.CrashId]
 
 
-class _Noted(msgspec.Struct):
+class _KnownCrash(msgspec.Struct):
     noticed_ms: float
     suspects: dict[ids.Fingerprint, Suspect]
 
 
 def crash_id(replica_id: str, born_ms: int | None) -> ids.CrashId:
-    """Returns the id of the crash that ends one start of a replica."""
+    """Returns the id of the crash that ends one start of a replica.
+
+    Args:
+      replica_id: the replica.
+      born_ms: when the replica started, None if unknown.
+    """
     return ids.CrashId(f"{replica_id}@{born_ms or 0}")
 
 
 class CrashLedger:
-    """Crashes and their suspects, as far as this entry knows."""
+    """Crashes and their suspects that this process knows of."""
 
     def __init__(self) -> None:
-        """Starts without a crash."""
-        self._crashes: dict[ids.CrashId, _Noted] = {}
-        self._blamed: dict[ids.Fingerprint, set[ids.CrashId]] = {}
+        """Creates an empty ledger."""
+        self._crashes: dict[ids.CrashId, _KnownCrash] = {}
+        self._crashes_of: dict[ids.Fingerprint, set[ids.CrashId]] = {}
         self._digests = bucket_digests.BucketDigests(BUCKETS)
-        self._condemned: dict[ids.Fingerprint, Evidence] | None = {}
-        self._forgotten_ms = float("-inf")
+        self._blocked: dict[ids.Fingerprint, Evidence] | None = {}
+        self._dropped_ms = float("-inf")
 
-    # What was seen.
+    # Observations and updates.
 
     def note(
         self,
@@ -138,130 +146,149 @@
         begun: bool,
         now_ms: clock.Millis,
     ) -> None:
-        """Takes a request that was under way at a crash."""
+        """Adds a request that was in flight at a crash.
+
+        Args:
+          crash: the crash.
+          fingerprint: the request.
+          begun: whether the request had returned part of its answer.
+          now_ms: the current time, taken as the time of the crash.
+        """
         suspect = Suspect(fingerprint, begun)
-        self._take(Crash(crash, 0.0, [suspect]), now_ms)
+        self._merge(Crash(crash, 0.0, [suspect]), now_ms)
 
     def blames(self, crash: ids.CrashId, fingerprint: ids.Fingerprint) -> bool:
-        """Returns whether a request is a suspect of a crash."""
-        return crash in self._blamed.get(fingerprint, ())
+        """Returns whether a request is an uncleared suspect of a crash."""
+        return crash in self._crashes_of.get(fingerprint, ())
 
     def clear(self, crash: ids.CrashId, fingerprint: ids.Fingerprint) -> None:
-        """Clears a request that is a suspect of a crash."""
-        noted = self._crashes[crash]
-        known = noted.suspects[fingerprint]
+        """Clears a request of a crash.
+
+        Raises:
+          KeyError: if the ledger does not hold the request as a suspect of the
+            crash.
+        """
+        known_crash = self._crashes[crash]
+        known = known_crash.suspects[fingerprint]
         cleared = msgspec.structs.replace(known, cleared=True)
-        self._put(crash, noted, cleared)
+        self._put_suspect(crash, known_crash, cleared)
 
     def clear_one(self, fingerprint: ids.Fingerprint) -> ids.CrashId | None:
-        """Clears a request of its earliest crash, since it ended well.
+        """Clears a request of its earliest crash after a successful run.
 
         Returns:
-          The crash, None if it is not blamed for any.
+          The crash, None if the request is no suspect of any.
         """
-        blamed = self._blamed.get(fingerprint)
-        if not blamed:
+        crashes = self._crashes_of.get(fingerprint)
+        if not crashes:
             return None
-        earliest = min(blamed, key=lambda c: self._crashes[c].noticed_ms)
+        earliest = min(crashes, key=lambda c: self._crashes[c].noticed_ms)
         self.clear(earliest, fingerprint)
         return earliest
 
     def clear_all(self, fingerprint: ids.Fingerprint) -> list[ids.CrashId]:
-        """Clears a request of all its crashes; returns them."""
-        blamed = list(self._blamed.get(fingerprint, ()))
-        for crash in blamed:
+        """Clears a request of all its crashes and returns these."""
+        crashes = list(self._crashes_of.get(fingerprint, ()))
+        for crash in crashes:
             self.clear(crash, fingerprint)
-        return blamed
+        return crashes
 
     def merge(self, crash: Crash, now_ms: clock.Millis) -> bool:
-        """Takes what another entry knows of a crash; returns whether it is new.
+        """Merges a crash that another process sent.
+
+        The earliest time at which any process noticed a crash counts. A crash
+        that this ledger may have dropped for want of space is not merged: other
+        processes still hold it and would send it again and again.
 
-        A crash counts from when it was noticed first. One that this ledger may
-        have forgotten for want of room is not taken: others hold it still, and
-        would tell it again and again.
+        Returns:
+          Whether the ledger changed.
         """
-        forgotten_ms = self._forgotten_ms + TRANSIT_MAX_MS
+        dropped_ms = self._dropped_ms + TRANSIT_MAX_MS
         known = crash.crash_id in self._crashes
-        if not known and now_ms - crash.age_ms <= forgotten_ms:
+        if not known and now_ms - crash.age_ms <= dropped_ms:
             return False
-        return self._take(crash, now_ms)
+        return self._merge(crash, now_ms)
 
-    def _take(self, crash: Crash, now_ms: clock.Millis) -> bool:
+    def _merge(self, crash: Crash, now_ms: clock.Millis) -> bool:
         noticed_ms = now_ms - crash.age_ms
-        noted = self._crashes.get(crash.crash_id)
-        if noted is None:
-            noted = self._crashes[crash.crash_id] = _Noted(noticed_ms, {})
-        noted.noticed_ms = min(noted.noticed_ms, noticed_ms)
+        known_crash = self._crashes.get(crash.crash_id)
+        if known_crash is None:
+            known_crash = self._crashes[crash.crash_id] = _KnownCrash(
+                noticed_ms, {}
+            )
+        known_crash.noticed_ms = min(known_crash.noticed_ms, noticed_ms)
         changed = False
-        for told in crash.suspects:
-            known = noted.suspects.get(told.fingerprint)
-            suspect = told if known is None else known.merged(told)
+        for update in crash.suspects:
+            known = known_crash.suspects.get(update.fingerprint)
+            suspect = update if known is None else known.merged(update)
             if suspect != known:
-                self._put(crash.crash_id, noted, suspect)
+                self._put_suspect(crash.crash_id, known_crash, suspect)
                 changed = True
         return changed
 
     def tick(self, now_ms: clock.Millis) -> None:
-        """Forgets crashes that are old, or more than are remembered."""
+        """Drops crashes that are too old or exceed `CRASHES_MAX`."""
         horizon_ms = now_ms - CRASH_AGE_MAX_MS
-        if self._forgotten_ms < horizon_ms:
-            self._forgotten_ms = float("-inf")
-        kept = self._condemning()
-        for crash, noted in list(self._crashes.items()):
-            if noted.noticed_ms < horizon_ms and crash not in kept:
-                self._forget(crash)
+        if self._dropped_ms < horizon_ms:
+            self._dropped_ms = float("-inf")
+        kept = self._blocking_crashes()
+        for crash, known_crash in list(self._crashes.items()):
+            if known_crash.noticed_ms < horizon_ms and crash not in kept:
+                self._drop(crash)
         excess = len(self._crashes) - CRASHES_MAX
         if excess > 0:
-            # Those that condemn a request go last.
+            # Crashes that block a request are dropped last.
             order = sorted(
                 self._crashes,
                 key=lambda c: (c in kept, self._crashes[c].noticed_ms),
             )
             for crash in order[:excess]:
                 noticed_ms = self._crashes[crash].noticed_ms
-                self._forgotten_ms = max(self._forgotten_ms, noticed_ms)
-                self._forget(crash)
+                self._dropped_ms = max(self._dropped_ms, noticed_ms)
+                self._drop(crash)
 
-    def _condemning(self) -> set[ids.CrashId]:
-        """Returns the crashes that condemn a request."""
+    def _blocking_crashes(self) -> set[ids.CrashId]:
+        """Returns the crashes that block a request."""
         return {
             crash
             for evidence in self.condemned().values()
             for crash in evidence.crash_ids
         }
 
-    # What follows from it.
+    # Strikes and blocked requests.
 
     def suspects(self) -> dict[ids.Fingerprint, list[ids.CrashId]]:
-        """Returns the crashes that each request is not cleared of."""
-        return {name: list(blamed) for name, blamed in self._blamed.items()}
+        """Returns, by request, the crashes that it is not cleared of."""
+        return {
+            name: list(crashes) for name, crashes in self._crashes_of.items()
+        }
 
     def strikes(self, fingerprint: ids.Fingerprint) -> float:
-        """Returns the strikes of a request that it is not cleared of."""
+        """Returns the strikes of a request for crashes it is not cleared of."""
         return sum(
-            BEGUN_STRIKE
+            PARTIAL_ANSWER_STRIKE
             if self._crashes[crash].suspects[fingerprint].begun
             else 1.0
-            for crash in self._blamed.get(fingerprint, ())
+            for crash in self._crashes_of.get(fingerprint, ())
         )
 
     def condemned(self) -> dict[ids.Fingerprint, Evidence]:
-        """Returns the requests that are not to be run again, and why."""
-        if self._condemned is None:
-            self._condemned = self._judge()
-        return self._condemned
+        """Returns the blocked requests and the evidence against each."""
+        if self._blocked is None:
+            self._blocked = self._find_blocked()
+        return self._blocked
 
-    def _judge(self) -> dict[ids.Fingerprint, Evidence]:
-        strikes = {name: self.strikes(name) for name in self._blamed}
+    def _find_blocked(self) -> dict[ids.Fingerprint, Evidence]:
+        strikes = {name: self.strikes(name) for name in self._crashes_of}
         condemned = {}
         for fingerprint, own in strikes.items():
             if own < STRIKES_MIN:
                 continue
-            crash_ids = sorted(self._blamed[fingerprint])
+            crash_ids = sorted(self._crashes_of[fingerprint])
             share = sum(
                 self._share(own, crash, strikes) for crash in crash_ids
             ) / len(crash_ids)
-            if share >= SHARE_MIN:
+            if share >= LIKELIHOOD_SHARE_MIN:
                 condemned[fingerprint] = Evidence(own, share, crash_ids)
         return condemned
 
@@ -271,34 +298,46 @@
         crash: ids.CrashId,
         strikes: dict[ids.Fingerprint, float],
     ) -> float:
-        """Returns the share of a request with `own` strikes in a crash."""
+        """Returns a request's share of the likelihood of causing a crash.
+
+        Args:
+          own: strikes of the request.
+          crash: the crash.
+          strikes: strikes of all requests.
+        """
         suspects = self._crashes[crash].suspects.values()
         likelihoods = [
-            strikes[suspect.fingerprint] ** LIKELIER_POWER
+            strikes[suspect.fingerprint] ** LIKELIHOOD_EXPONENT
             for suspect in suspects
             if not suspect.cleared
         ]
-        other = OTHER_CAUSE_STRIKES**LIKELIER_POWER
-        return float(own**LIKELIER_POWER / (sum(likelihoods) + other))
+        other = OTHER_CAUSE_STRIKES**LIKELIHOOD_EXPONENT
+        return float(own**LIKELIHOOD_EXPONENT / (sum(likelihoods) + other))
 
-    # What entries tell each other.
+    # Exchange with other processes.
 
     def told(
         self, crashes: Iterable[ids.CrashId], now_ms: clock.Millis
     ) -> list[Crash]:
-        """Returns what is known of some crashes, without those forgotten."""
+        """Returns crashes in the form that is sent to other processes.
+
+        Args:
+          crashes: ids of the crashes; ids that the ledger has dropped are
+            skipped.
+          now_ms: the current time.
+        """
         return [
             Crash(
                 crash,
-                now_ms - noted.noticed_ms,
-                list(noted.suspects.values()),
+                now_ms - known_crash.noticed_ms,
+                list(known_crash.suspects.values()),
             )
             for crash in crashes
-            if (noted := self._crashes.get(crash)) is not None
+            if (known_crash := self._crashes.get(crash)) is not None
         ]
 
     def digest(self) -> int:
-        """Returns one digest of the ledger, 0 if it is empty."""
+        """Returns the digest of the whole ledger, 0 if the ledger is empty."""
         return self._digests.joined()
 
     def digests(self) -> list[int]:
@@ -308,14 +347,15 @@
     def differing(
         self, digests: list[int], rng: random.Random
     ) -> list[ids.CrashId]:
-        """Returns crashes that another ledger may lack, as many as are told.
+        """Returns at most one answer's crashes that another ledger may lack.
 
-        If there are more, they are those of a few whole buckets, which then
-        differ no longer: drawn from all, most would be told many times.
+        If there are more, the answer fills up with the crashes of a few
+        complete buckets, which then no longer differ. A random choice from all
+        buckets would send most crashes many times.
 
         Args:
           digests: the digests of the other ledger's buckets.
-          rng: draws the buckets that are told if there are more.
+          rng: picks the buckets that are sent if there are more.
         """
         buckets = set(self._digests.differing(digests))
         found = [
@@ -323,45 +363,47 @@
             for crash in self._crashes
             if self._digests.bucket_of(crash) in buckets
         ]
-        if len(found) <= TOLD_MAX:
+        if len(found) <= CRASHES_PER_ANSWER_MAX:
             return found
-        kept = self._condemning()
+        kept = self._blocking_crashes()
         rng.shuffle(found)
         ranks = {bucket: rng.random() for bucket in buckets}
         found.sort(key=lambda crash: ranks[self._digests.bucket_of(crash)])
         first = [crash for crash in found if crash in kept]
-        first = first[:TOLD_CONDEMNED_MAX]
+        first = first[:BLOCKING_PER_ANSWER_MAX]
         rest = [crash for crash in found if crash not in first]
-        return [*first, *rest[: TOLD_MAX - len(first)]]
+        return [*first, *rest[: CRASHES_PER_ANSWER_MAX - len(first)]]
 
-    # Keeping all of it in step.
+    # Updates of the suspects, the indexes and the digests.
 
-    def _put(self, crash: ids.CrashId, noted: _Noted, suspect: Suspect) -> None:
+    def _put_suspect(
+        self, crash: ids.CrashId, known_crash: _KnownCrash, suspect: Suspect
+    ) -> None:
         fingerprint = suspect.fingerprint
-        known = noted.suspects.get(fingerprint)
+        known = known_crash.suspects.get(fingerprint)
         if known is not None:
-            self._toggle(crash, known)
-        noted.suspects[fingerprint] = suspect
-        self._toggle(crash, suspect)
-        blamed = self._blamed.setdefault(fingerprint, set())
+            self._toggle_digest(crash, known)
+        known_crash.suspects[fingerprint] = suspect
+        self._toggle_digest(crash, suspect)
+        crashes = self._crashes_of.setdefault(fingerprint, set())
         if suspect.cleared:
-            blamed.discard(crash)
+            crashes.discard(crash)
         else:
-            blamed.add(crash)
-        if not blamed:
-            del self._blamed[fingerprint]
-        self._condemned = None
-
-    def _forget(self, crash: ids.CrashId) -> None:
-        noted = self._crashes.pop(crash)
-        for fingerprint, suspect in noted.suspects.items():
-            self._toggle(crash, suspect)
-            blamed = self._blamed.get(fingerprint, set())
-            blamed.discard(crash)
-            if not blamed:
-                self._blamed.pop(fingerprint, None)
-        self._condemned = None
-
-    def _toggle(self, crash: ids.CrashId, suspect: Suspect) -> None:
+            crashes.add(crash)
+        if not crashes:
+            del self._crashes_of[fingerprint]
+        self._blocked = None
+
+    def _drop(self, crash: ids.CrashId) -> None:
+        known_crash = self._crashes.pop(crash)
+        for fingerprint, suspect in known_crash.suspects.items():
+            self._toggle_digest(crash, suspect)
+            crashes = self._crashes_of.get(fingerprint, set())
+            crashes.discard(crash)
+            if not crashes:
+                self._crashes_of.pop(fingerprint, None)
+        self._blocked = None
+
+    def _toggle_digest(self, crash: ids.CrashId, suspect: Suspect) -> None:
         flags = f"{suspect.begun:d}{suspect.cleared:d}"
         self._digests.toggle(crash, f"{crash}\0{suspect.fingerprint}\0{flags}")
--- a/src/marlramp/core/crash_record.py
+++ b/src/marlramp/core/crash_record.py
@@ -1,9 +1,10 @@
-"""What an entry makes of crashes: its own, those of others, and good runs.
+"""Crashes, suspects and successful runs that one entry knows of.
 
-Load pattern: see `crash_ledger`. A run that ended well clears its request of
-one crash, before or after it is blamed for one, here or at another entry. So
-requests of popular content, which are under way at every crash, stay free, and
-one that crashes replicas now and then does not.
+Load pattern: see `crash_ledger`. A successful run clears its request of one
+crash, whether the run ends before or after the request becomes a suspect, at
+this entry or at another one. Requests for popular content, which are in flight
+at every crash, therefore are not blocked, while a request that crashes replicas
+only sometimes is.
 """
 
 from __future__ import annotations
@@ -17,20 +18,21 @@
 from marlramp.core import crash_ledger
 from marlramp.core import good_runs
 
-STRIKES_ALONE = 1.0
-"""Strikes from which on a request goes where the fewest others run: if it is
-the cause, few are broken off with it, and few are suspected beside it."""
+ISOLATION_STRIKES = 1.0
+"""Strikes from which a request is sent where the fewest others run: if the
+request is the cause, few other requests are aborted and become suspects with
+it."""
 
-STRIKES_ONCE = 2.0
-"""Strikes from which on a request is not sent to a second replica."""
+SINGLE_ATTEMPT_STRIKES = 2.0
+"""Strikes from which a request is not sent to a second replica."""
 
 
 class Verdicts(msgspec.Struct, frozen=True):
-    """What changed of the requests that are not to be run again.
+    """Changes to the set of blocked requests.
 
     Attributes:
-      condemned: requests that are now, and why.
-      released: requests that were, and are no longer.
+      condemned: newly blocked requests and the evidence against each.
+      released: requests that are no longer blocked.
     """
 
     condemned: dict[ids.Fingerprint, crash_ledger.Evidence]
@@ -38,14 +40,14 @@
 
 
 class CrashRecord:
-    """Crashes, their suspects and the good runs seen by this entry."""
+    """Crashes, their suspects and successful runs known to this entry."""
 
     def __init__(self) -> None:
-        """Starts without any."""
+        """Creates an empty record."""
         self.ledger = crash_ledger.CrashLedger()
-        self._good = good_runs.GoodRuns()
-        self._untold: set[ids.CrashId] = set()
-        self._judged: set[ids.Fingerprint] = set()
+        self._successes = good_runs.GoodRuns()
+        self._changed: set[ids.CrashId] = set()
+        self._reported_blocked: set[ids.Fingerprint] = set()
 
     def note_crash(
         self,
@@ -55,69 +57,91 @@
         begun: bool,
         now_ms: clock.Millis,
     ) -> None:
-        """Takes a request of this entry that was under way at a crash."""
-        if self._good.try_spend(fingerprint, now_ms):
+        """Adds a request of this entry as a suspect of a crash.
+
+        If a successful run of the request is left, the run is consumed and the
+        request is not added.
+
+        Args:
+          crash: the crash.
+          fingerprint: the request that was in flight.
+          begun: whether the request had returned part of its answer.
+          now_ms: the current time.
+        """
+        if self._successes.try_spend(fingerprint, now_ms):
             return
         self.ledger.note(crash, fingerprint, begun=begun, now_ms=now_ms)
-        self._untold.add(crash)
+        self._changed.add(crash)
 
     def note_good(
         self, fingerprint: ids.Fingerprint, now_ms: clock.Millis
     ) -> None:
-        """Takes a run that ended without a crash."""
+        """Records a run that ended without a crash."""
         crash = self.ledger.clear_one(fingerprint)
         if crash is None:
-            self._good.note(fingerprint, now_ms)
+            self._successes.note(fingerprint, now_ms)
         else:
-            self._untold.add(crash)
+            self._changed.add(crash)
 
     def clear(self, fingerprint: ids.Fingerprint) -> int:
-        """Clears a request of all its crashes; returns how many."""
+        """Clears a request of all its crashes and returns their number."""
         crashes = self.ledger.clear_all(fingerprint)
-        self._untold.update(crashes)
+        self._changed.update(crashes)
         return len(crashes)
 
     def merge(
         self, crashes: Iterable[crash_ledger.Crash], now_ms: clock.Millis
     ) -> bool:
-        """Takes what another process knows; returns whether it is new."""
+        """Merges crashes that another process sent.
+
+        Returns:
+          Whether the ledger changed.
+        """
         is_new = False
         for crash in crashes:
             if not self.ledger.merge(crash, now_ms):
                 continue
             is_new = True
-            self._untold.add(crash.crash_id)
+            self._changed.add(crash.crash_id)
             for suspect in crash.suspects:
-                blamed = self.ledger.blames(crash.crash_id, suspect.fingerprint)
-                if blamed and self._good.try_spend(suspect.fingerprint, now_ms):
+                is_suspect = self.ledger.blames(
+                    crash.crash_id, suspect.fingerprint
+                )
+                if is_suspect and self._successes.try_spend(
+                    suspect.fingerprint, now_ms
+                ):
                     self.ledger.clear(crash.crash_id, suspect.fingerprint)
         return is_new
 
     def is_condemned(self, fingerprint: ids.Fingerprint) -> bool:
-        """Returns whether a request is not to be run again."""
+        """Returns whether a request is blocked."""
         return fingerprint in self.ledger.condemned()
 
     def runs_alone(self, fingerprint: ids.Fingerprint) -> bool:
-        """Returns whether a request goes where the fewest others run."""
-        return self.ledger.strikes(fingerprint) >= STRIKES_ALONE
+        """Returns whether a request is sent where the fewest others run."""
+        return self.ledger.strikes(fingerprint) >= ISOLATION_STRIKES
 
     def runs_once(self, fingerprint: ids.Fingerprint) -> bool:
         """Returns whether a request is sent to one replica at most."""
-        return self.ledger.strikes(fingerprint) >= STRIKES_ONCE
+        return self.ledger.strikes(fingerprint) >= SINGLE_ATTEMPT_STRIKES
 
     def tick(self, now_ms: clock.Millis) -> None:
-        """Forgets what is old."""
+        """Drops old crashes."""
         self.ledger.tick(now_ms)
 
     def take_untold(self) -> set[ids.CrashId]:
-        """Returns the crashes that changed since the last time."""
-        untold, self._untold = self._untold, set()
-        return untold
+        """Returns the crashes that changed since the previous call."""
+        changed, self._changed = self._changed, set()
+        return changed
 
     def take_verdicts(self) -> Verdicts:
-        """Returns what changed of the verdicts since the last time."""
+        """Returns how the blocked requests changed since the previous call."""
         now = self.ledger.condemned()
-        fresh = {name: now[name] for name in now if name not in self._judged}
-        released = sorted(self._judged - now.keys())
-        self._judged = set(now)
+        fresh = {
+            name: now[name]
+            for name in now
+            if name not in self._reported_blocked
+        }
+        released = sorted(self._reported_blocked - now.keys())
+        self._reported_blocked = set(now)
         return Verdicts(fresh, released)
--- a/src/marlramp/core/good_runs.py
+++ b/src/marlramp/core/good_runs.py
@@ -1,7 +1,7 @@
-"""Requests that ended well lately, by their content.
+"""Recent successful runs, counted by request fingerprint.
 
-A popular request is under way at many replicas, and so at many crashes that it
-has nothing to do with. Each run of it that ended well speaks for it once.
+A popular request is in flight at many replicas, and so at many crashes that it
+does not cause. Each successful run clears the request of one crash.
 """
 
 from __future__ import annotations
@@ -14,13 +14,14 @@
 from marlramp import ids
 
 REQUESTS_MAX = 4_096
-"""Requests that are remembered, those that ended last."""
+"""Requests whose runs are kept; those whose run ended last remain."""
 
 RUNS_MAX = 8
-"""Runs of one request that are remembered."""
+"""Runs of one request that are kept."""
 
 AGE_MAX_MS = 60_000.0
-"""How long a run speaks for its request after the last one."""
+"""Time after a request's latest successful run for which its runs can clear it.
+"""
 
 
 class _Runs(msgspec.Struct):
@@ -29,16 +30,16 @@
 
 
 class GoodRuns:
-    """Runs that ended well, by request."""
+    """Successful runs by request."""
 
     def __init__(self) -> None:
-        """Remembers none."""
+        """Creates an empty collection."""
         self._runs: collections.OrderedDict[ids.Fingerprint, _Runs] = (
             collections.OrderedDict()
         )
 
     def note(self, fingerprint: ids.Fingerprint, now_ms: clock.Millis) -> None:
-        """Counts a run that ended well."""
+        """Counts a successful run."""
         runs = self._runs.setdefault(fingerprint, _Runs(0, now_ms))
         runs.count = min(RUNS_MAX, runs.count + 1)
         runs.last_ms = now_ms
@@ -49,7 +50,11 @@
     def try_spend(
         self, fingerprint: ids.Fingerprint, now_ms: clock.Millis
     ) -> bool:
-        """Uses up a run to clear its request; returns whether there was one."""
+        """Consumes a successful run to clear its request of one crash.
+
+        Returns:
+          Whether there was a run to consume.
+        """
         runs = self._runs.get(fingerprint)
         if runs is None or now_ms - runs.last_ms > AGE_MAX_MS:
             return False
--- a/src/marlramp/core/grants.py
+++ b/src/marlramp/core/grants.py
@@ -1,9 +1,10 @@
-"""Single-use grants of work, kept by the agent that runs the work.
+"""Single-use grants, kept by the agent that runs the work.
 
-A grant is numbered and belongs to one incarnation of one agent. It expires on
-the agent's clock and is taken at most once, so a request carried twice, or by
-an entry that woke late, runs at most once. The ledger remembers only grants
-that are outstanding and runs that ended recently: any other number is void.
+A grant has a number and belongs to one incarnation of one agent. It expires on
+the agent's clock and is consumed at most once. A request that is delivered
+twice, or that a resumed entry sends late, therefore runs at most once. The
+ledger keeps outstanding grants and runs in progress, and for `RUN_RETENTION_MS`
+also ended runs and voided grants. It reports any other number as unknown.
 """
 
 from __future__ import annotations
@@ -17,17 +18,17 @@
 from marlramp import ids
 
 RUN_RETENTION_MS = 120_000.0
-"""How long the outcome of an ended run can be asked for."""
+"""Time for which the outcome of an ended run can be queried."""
 
 RESERVED_MAX = 4096
-"""Most reserved grants outstanding at one agent."""
+"""Most reserved grants that one agent has outstanding."""
 
 USABLE_FRACTION = 0.6
-"""Part of a grant's lifetime after which a fresh one replaces it."""
+"""Fraction of a grant's TTL after which a fresh grant replaces it."""
 
 
 class RunState(enum.Enum):
-    """What became of a grant."""
+    """State of a grant and of the run that it permits."""
 
     NOT_STARTED = "not_started"
     RUNNING = "running"
@@ -38,13 +39,13 @@
 
 
 class Grant(msgspec.Struct, frozen=True):
-    """Permission for one entry to have one request run.
+    """Permission for one entry to run one request.
 
     Attributes:
       number: number within the incarnation.
-      entry_id: the entry it was issued to.
-      expires_ms: agent clock reading after which it is void.
-      reserved: whether it backs a run token and holds no capacity.
+      entry_id: the entry that the grant is issued to.
+      expires_ms: time on the agent's clock from which the grant is void.
+      reserved: whether the grant backs a run token and holds no capacity.
     """
 
     number: ids.GrantNumber
@@ -54,14 +55,14 @@
 
 
 class Refusal(msgspec.Struct, frozen=True):
-    """Why a grant could not be taken, and whether its request ever ran."""
+    """Why a grant could not be consumed, and whether its request ever ran."""
 
     kind: errors.ErrorKind
     ran: errors.Ran
 
 
 class Run(msgspec.Struct):
-    """A run that a grant was taken for."""
+    """A run that consumed a grant."""
 
     number: ids.GrantNumber
     entry_id: ids.VmId
@@ -70,7 +71,7 @@
 
 
 class GrantLedger:
-    """Issues grants within the capacity and takes each at most once."""
+    """Issues grants within the capacity and lets each be consumed once."""
 
     def __init__(
         self,
@@ -79,13 +80,13 @@
         grant_ttl_ms: float,
         reserved_ttl_ms: float,
     ) -> None:
-        """Starts closed; call `open` once the upstream is ready.
+        """Creates a closed ledger; call `open` once the upstream is ready.
 
         Args:
-          incarnation: number drawn at process start.
-          capacity: most requests the upstream runs at once.
-          grant_ttl_ms: lifetime of an ordinary grant.
-          reserved_ttl_ms: lifetime of a grant behind a run token.
+          incarnation: random number of this start of the agent.
+          capacity: most requests that the upstream runs at once.
+          grant_ttl_ms: TTL of an ordinary grant.
+          reserved_ttl_ms: TTL of a grant that backs a run token.
         """
         self.incarnation = incarnation
         self.capacity = capacity
@@ -99,12 +100,12 @@
         self._voided_ms: dict[ids.GrantNumber, float] = {}
 
     def set_reserved_ttl(self, reserved_ttl_ms: float) -> None:
-        """Applies a changed lifetime to run tokens issued from now on."""
+        """Sets the TTL of run tokens that are issued from now on."""
         self._reserved_ttl_ms = reserved_ttl_ms
 
     @property
     def is_open(self) -> bool:
-        """Whether grants are issued and taken."""
+        """Whether grants are issued."""
         return self._open
 
     @property
@@ -113,11 +114,11 @@
         return len(self._running)
 
     def open(self) -> None:
-        """Allows grants to be issued and taken."""
+        """Allows grants to be issued."""
         self._open = True
 
     def close(self, now_ms: clock.Millis) -> None:
-        """Voids every outstanding grant and issues no more."""
+        """Voids every outstanding grant and stops issuing grants."""
         self._open = False
         for number in list(self._outstanding):
             self._void(number, now_ms)
@@ -125,7 +126,12 @@
     def usable_count(
         self, now_ms: clock.Millis, entry_id: ids.VmId | None = None
     ) -> int:
-        """Number of ordinary grants worth using, at one entry or at all."""
+        """Returns the number of ordinary grants that are still worth using.
+
+        Args:
+          now_ms: time on the agent's clock.
+          entry_id: the entry whose grants are counted, None for all entries.
+        """
         rest_ms = (1.0 - USABLE_FRACTION) * self._grant_ttl_ms
         return sum(
             1
@@ -138,15 +144,15 @@
     def issue(
         self, entry_id: ids.VmId, target: int, now_ms: clock.Millis
     ) -> list[ids.GrantNumber]:
-        """Issues grants until the entry holds `target`, capacity allowing.
+        """Issues grants until the entry holds `target`, capacity permitting.
 
         Args:
-          entry_id: the entry to grant to.
-          target: runs and grants the entry should hold in all.
-          now_ms: the agent's time.
+          entry_id: the entry that receives the grants.
+          target: total number of runs and grants that the entry should hold.
+          now_ms: time on the agent's clock.
 
         Returns:
-          The numbers issued, oldest first.
+          The numbers of the issued grants, oldest first.
         """
         if not self._open:
             return []
@@ -164,7 +170,12 @@
     def reserve(
         self, entry_id: ids.VmId, now_ms: clock.Millis
     ) -> ids.GrantNumber | None:
-        """Issues a grant for a run token, or None when that is not possible."""
+        """Issues a grant that backs a run token.
+
+        Returns:
+          The grant's number, None if the ledger is closed or `RESERVED_MAX`
+          reserved grants are outstanding.
+        """
         self.expire(now_ms)
         reserved = sum(1 for g in self._outstanding.values() if g.reserved)
         if not self._open or reserved >= RESERVED_MAX:
@@ -180,20 +191,20 @@
         *,
         from_token: bool = False,
     ) -> Refusal | None:
-        """Takes a grant for a run.
+        """Consumes a grant and starts its run.
 
         Args:
           incarnation: incarnation that the grant belongs to.
-          number: the grant.
-          entry_id: the entry that asks.
-          now_ms: the agent's time.
-          from_token: whether the grant is behind a run token, so that another
-            message may have named it before.
+          number: the grant's number.
+          entry_id: the entry that sends the request.
+          now_ms: time on the agent's clock.
+          from_token: whether the grant backs a run token, so that an earlier
+            message may have named the grant.
 
         Returns:
-          None when the run may start, else why it may not. Every refusal
-          means that this message starts no run; for a run token it also says
-          whether an earlier message did.
+          None if the run may start, else the reason for the refusal. A refused
+          message starts no run. For a run token, the refusal also says
+          whether an earlier message started the run.
         """
         unknown = Refusal(errors.ErrorKind.GRANT_VOID, errors.Ran.NO)
         if from_token:
@@ -220,7 +231,7 @@
         state: RunState,
         now_ms: clock.Millis,
     ) -> None:
-        """Records how a run ended; unknown numbers are ignored."""
+        """Records how a run ended; ignores numbers of runs not in progress."""
         run = self._running.pop(number, None)
         if run is None:
             return
@@ -234,11 +245,11 @@
         number: ids.GrantNumber,
         now_ms: clock.Millis,
     ) -> RunState:
-        """Voids a grant that was not taken, also before its run arrives.
+        """Voids an unused grant, even if the request arrives only later.
 
         Returns:
-          VOID when the grant cannot start a run any more and never has,
-          else the state of its run.
+          VOID if the grant has started no run and can start none, else the
+          state of the grant's run.
         """
         if incarnation != self.incarnation:
             return RunState.UNKNOWN
@@ -254,7 +265,7 @@
         number: ids.GrantNumber,
         now_ms: clock.Millis,
     ) -> RunState:
-        """Returns what became of a grant, UNKNOWN when it is forgotten."""
+        """Returns the state of a grant, UNKNOWN if the ledger has no record."""
         if incarnation != self.incarnation:
             return RunState.UNKNOWN
         self.expire(now_ms)
@@ -268,7 +279,7 @@
         return RunState.UNKNOWN
 
     def expire(self, now_ms: clock.Millis) -> None:
-        """Voids expired grants and forgets runs that ended long ago."""
+        """Voids expired grants and removes records past the retention time."""
         for grant in list(self._outstanding.values()):
             if grant.expires_ms <= now_ms:
                 self._void(grant.number, now_ms)
@@ -303,15 +314,15 @@
 ) -> dict[ids.VmId, int]:
     """Divides capacity among entries by demand.
 
-    Each entry gets at least one grant while there is one to give, so that a
-    request that arrives at an idle entry need not wait for a heartbeat.
+    Each entry gets at least one slot while the capacity suffices, so that a
+    request that arrives at an idle entry does not wait for a heartbeat.
 
     Args:
       capacity: slots to divide.
       demand: requests running and waiting for this agent by entry.
 
     Returns:
-      Slots by entry; their sum is at most `capacity`.
+      Slots by entry; the sum is at most `capacity`.
     """
     entries = sorted(demand)
     shares = {entry: 0 for entry in entries}
--- a/src/marlramp/core/request_fingerprint.py
+++ b/src/marlramp/core/request_fingerprint.py
@@ -1,7 +1,7 @@
-"""Recognises a request that comes again under another id.
+"""Recognises a request that is sent again under another id.
 
-What a replica runs is decided by the method, host, path, query, customer and
-body. Ids, deadlines and other headers differ between attempts of one caller.
+The method, host, path, query, customer and body determine what a replica runs.
+Ids, deadlines and other headers differ between the attempts of one caller.
 """
 
 from __future__ import annotations
@@ -28,10 +28,13 @@
 
     Args:
       method: HTTP method.
-      host: host asked for, in lower case and without a port.
+      host: requested host, in lower case and without a port.
       target: path and query as sent.
-      customer_id: its customer, None if it has none.
-      body: the whole body.
+      customer_id: the request's customer, None if it has none.
+      body: the complete body.
+
+    Returns:
+      `FINGERPRINT_BYTES` bytes in hexadecimal.
     """
     digest = blake3.blake3()
     for part in (
@@ -40,7 +43,8 @@
         target,
         (customer_id or "").encode(),
     ):
-        # A length before each part keeps two splits of the same bytes apart.
+        # The length prefix makes bytes that move between parts change the hash.
+
         digest.update(_LENGTH.pack(len(part)))
         digest.update(part)
     digest.update(body)
--- a/src/marlramp/core/run_tokens.py
+++ b/src/marlramp/core/run_tokens.py
@@ -1,8 +1,8 @@
-"""Run tokens: a reserved grant that a caller carries from entry to entry.
+"""Run tokens: reserved grants that callers carry from entry to entry.
 
-The token names the agent, its incarnation and the grant, and is signed with a
-key that all entries share, so that no caller can name a grant it was not
-given. It holds nothing that an entry must remember.
+A token names the agent, its incarnation and the grant. It is signed with a key
+that all entries share, so that a caller cannot forge a token for a grant that
+it did not receive. Entries keep no state for a token.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 
 
 class RunToken(msgspec.Struct, frozen=True, array_like=True):
-    """What a run token says.
+    """Content of a run token.
 
     Attributes:
       vm_id: the agent's VM.
       incarnation: the agent's incarnation.
-      number: the reserved grant.
-      service_id: the service it may be used for.
-      customer_id: the customer it was given to.
+      number: number of the reserved grant.
+      service_id: the service that the token is valid for.
+      customer_id: the customer that the token was issued to.
     """
 
     vm_id: str
@@ -39,23 +39,28 @@
 
 
 class TokenSigner:
-    """Signs and checks run tokens."""
+    """Signs and verifies run tokens."""
 
     def __init__(self, key: str) -> None:
-        """Uses the key that all entries share."""
+        """Creates a signer.
+
+        Args:
+          key: the secret that all entries share.
+        """
         self._key = key.encode()
 
     def encode(self, token: RunToken) -> str:
-        """Returns the token as text for a header."""
+        """Returns the signed token as text for a header."""
         payload = msgspec.msgpack.encode(token)
         signed = self._signature(payload) + payload
         return base64.urlsafe_b64encode(signed).decode().rstrip("=")
 
     def decode(self, text: str) -> RunToken:
-        """Returns the token in a header.
+        """Verifies and decodes the token in a header.
 
         Raises:
-          errors.CallError: if this fleet did not issue it.
+          errors.CallError: if the text is malformed or its signature is not
+            valid for this fleet's key.
         """
         try:
             padded = text + "=" * (-len(text) % 4)
--- a/src/marlramp/core/swap.py
+++ b/src/marlramp/core/swap.py
@@ -1,14 +1,17 @@
-"""Permits to stop serving for a version swap, given out by each entry.
+"""Permits to stop serving for a version swap, issued by each entry.
 
-An agent whose engine cannot hold two versions must stop serving to swap. It
-first asks every entry that it hears from, and swaps only when all permit it.
-Each entry permits only so many of the agents linked to it at once, and never
-the last one ready. The entries need not agree on anything among themselves.
+An agent whose engine cannot hold two versions must stop serving to swap. The
+agent first requests a permit from every entry that it hears from, and swaps
+only when all of them grant one. Each entry limits how many of the agents linked
+to it hold a permit at once, and never permits the last ready one of several to
+stop. The entries need no agreement among themselves.
 
-Permits end by time on both sides. The agent counts from before its first
-question, and uses a permit in the first half of its life only; the entry
-counts from when a question came. So the agent's end is always the earlier one,
-and half of the life is left for the news that the agent has stopped.
+
+Permits expire on both sides. The agent counts from before its first request and
+uses a permit only in the first half of its validity; the entry counts from the
+arrival of the request. The agent's expiry is therefore always the earlier one,
+and the second half of the validity remains for reporting to the entries that
+the agent has stopped.
 """
 
 from __future__ import annotations
@@ -23,29 +26,30 @@
 
 HOLD_MIN_MS = 3_000.0
 HOLD_MAX_MS = 48_000.0
-"""Shortest and longest life of a permit; late answers make it longer."""
+"""Shortest and longest validity of a permit; late answers extend it."""
 
 USABLE_FRACTION = 0.5
-"""Part of a permit's life in which the agent may begin its swap."""
+"""Fraction of a permit's validity in which the agent may begin its swap."""
 
-ASK_AGAIN_FRACTION = 0.25
-"""Part of a permit's life after which an entry without an answer is asked
-again, since the question or its answer may be lost."""
+REQUEST_RETRY_FRACTION = 0.25
+"""Fraction of a permit's validity after which the agent repeats its request to
+an entry that has not answered, since the request or the answer may be lost."""
 
 HOLD_MARGIN = 1.5
-"""Permits may be used for this many times as long as answers took."""
+"""Usable time of a permit as a multiple of the time that the answers took."""
 
-ROUNDS_KEPT = 256
-"""Rounds whose begin is kept, so that late answers can be dated."""
+ATTEMPTS_KEPT = 256
+"""Attempts whose start is kept, so that the delay of late answers is known."""
 
 RETRY_MIN_MS = 200.0
 RETRY_MAX_MS = 800.0
-"""An agent that got only some permits gives them back and waits for a time
-drawn between these, so that two agents do not refuse each other for ever."""
+"""Range of the random wait after an attempt that got only some permits. The
+agent gives these back before it waits; the random wait keeps two agents from
+refusing each other for ever."""
 
 
 class Standing(enum.Enum):
-    """How an agent's attempt to collect permits stands."""
+    """State of an agent's attempt to collect permits."""
 
     WAITING = "waiting"
     PERMITTED = "permitted"
@@ -57,8 +61,8 @@
     """A replica of a service as an entry sees it.
 
     Attributes:
-      vm_id: its VM.
-      ready: whether it serves and was heard from lately.
+      vm_id: the replica's VM.
+      ready: whether the replica serves and is not silent.
     """
 
     vm_id: ids.VmId
@@ -66,14 +70,14 @@
 
 
 class Question(msgspec.Struct, frozen=True):
-    """An agent's question for a permit.
+    """An agent's request for a permit.
 
     Attributes:
-      vm_id: its VM.
-      service_id: its service.
-      incarnation: the start of the agent that asks.
-      number: number of its round.
-      hold_ms: life of the permit that it asks for.
+      vm_id: the agent's VM.
+      service_id: the agent's service.
+      incarnation: the incarnation of the agent.
+      number: number of the agent's attempt.
+      hold_ms: validity that the agent requests.
     """
 
     vm_id: ids.VmId
@@ -84,19 +88,23 @@
 
 
 class _Permit(msgspec.Struct, frozen=True):
-    """A permit and when it ends."""
+    """A permit and when it expires."""
 
     question: Question
-    until_ms: float
+    expires_ms: float
 
 
 class PermitDesk:
-    """One entry's permits."""
+    """Issues the permits of one entry."""
 
     def __init__(self, started_ms: clock.Millis) -> None:
-        """Starts with no permit; an earlier process may have given some."""
+        """Starts without permits and refuses all requests for `HOLD_MIN_MS`.
+
+        An earlier process of this entry may have issued permits that are still
+        valid.
+        """
         self._permits: dict[ids.VmId, _Permit] = {}
-        self._opens_ms = started_ms + HOLD_MIN_MS
+        self._refuse_until_ms = started_ms + HOLD_MIN_MS
 
     def ask(
         self,
@@ -107,28 +115,32 @@
         allow_sole: bool,
         now_ms: clock.Millis,
     ) -> bool:
-        """Decides whether an agent may stop serving.
+        """Issues a permit if the agent may stop serving.
 
         Args:
-          question: what the agent asks.
-          replicas: all replicas of its service.
-          out_fraction: part of the replicas that may be out at once.
+          question: the agent's request.
+          replicas: all replicas of the agent's service.
+          out_fraction: fraction of the replicas that may be out of service at
+            once.
           allow_sole: whether a sole replica may stop.
-          now_ms: the entry's time.
+          now_ms: time on the entry's clock.
+
+        Returns:
+          Whether the permit is issued.
         """
         self._expire(now_ms)
-        if now_ms < self._opens_ms:
+        if now_ms < self._refuse_until_ms:
             return False
         vm_id = question.vm_id
         others = [r for r in replicas if r.vm_id != vm_id]
         staying = [
             r for r in others if r.ready and r.vm_id not in self._permits
         ]
-        unseen = self._unseen(question, others)
+        unlinked = self._unlinked_count(question, others)
         if not staying:
-            return allow_sole and not others and not unseen
+            return allow_sole and not others and not unlinked
         out_max = max(1, int(out_fraction * len(replicas)))
-        out = len(others) - len(staying) + unseen
+        out = len(others) - len(staying) + unlinked
         if vm_id not in self._permits and out >= out_max:
             return False
         hold_ms = min(question.hold_ms, HOLD_MAX_MS)
@@ -138,7 +150,10 @@
     def release(
         self, vm_id: ids.VmId, incarnation: ids.Incarnation, number: int
     ) -> None:
-        """Takes back the permit of a round, or of one before it."""
+        """Revokes a permit of an attempt or of an earlier one.
+
+        A permit of a later attempt, or of another incarnation, remains.
+        """
         permit = self._permits.get(vm_id)
         if permit is None or permit.question.incarnation != incarnation:
             return
@@ -146,13 +161,14 @@
             del self._permits[vm_id]
 
     def drop(self, vm_id: ids.VmId) -> None:
-        """Takes back a permit once the agent serves again, or has ended."""
+        """Revokes a permit when the agent serves again or has ended."""
         self._permits.pop(vm_id, None)
 
-    def _unseen(self, question: Question, others: list[Replica]) -> int:
-        """Returns how many permits replicas hold whose link is lost.
+    def _unlinked_count(self, question: Question, others: list[Replica]) -> int:
+        """Returns how many permits are held by replicas whose link is lost.
 
-        They may live and use it, so that only time ends it.
+        Such a replica may still run and use its permit, so the permit counts
+        until it expires.
         """
         seen = {question.vm_id, *(r.vm_id for r in others)}
         return sum(
@@ -163,67 +179,79 @@
 
     def _expire(self, now_ms: clock.Millis) -> None:
         for vm_id, permit in list(self._permits.items()):
-            if permit.until_ms <= now_ms:
+            if permit.expires_ms <= now_ms:
                 del self._permits[vm_id]
 
 
 class PermitRound:
-    """One agent's attempts to collect a permit from each entry."""
+    """Collects a permit from each entry, for one agent.
+
+    An attempt begins with `begin` and is over when `end` is called, or when a
+    permit or the time for collecting permits expires.
+    """
 
     def __init__(self, hold_max_ms: float = HOLD_MAX_MS) -> None:
-        """Starts without a round; permits live for `hold_max_ms` at most."""
+        """Starts without an attempt.
+
+        Args:
+          hold_max_ms: longest validity of a permit.
+        """
         self._hold_max_ms = hold_max_ms
         self._number = 0
         self._open = False
         self._refused = False
         self._hold_ms = HOLD_MIN_MS
-        self._slowest_ms = 0.0
-        self._begun_ms: collections.OrderedDict[int, clock.Millis] = (
+        self._slowest_answer_ms = 0.0
+        self._started_ms: collections.OrderedDict[int, clock.Millis] = (
             collections.OrderedDict()
         )
-        self._asked_ms: dict[ids.VmId, clock.Millis] = {}
+        self._requested_ms: dict[ids.VmId, clock.Millis] = {}
         self._usable_until_ms: dict[ids.VmId, float] = {}
 
     @property
     def number(self) -> int:
-        """The number of the last round, for questions."""
+        """The number of the latest attempt, sent with each request."""
         return self._number
 
     @property
     def hold_ms(self) -> float:
-        """The life of the permits to ask for."""
+        """The validity of the permits to request, in milliseconds."""
         return self._hold_ms
 
     @property
     def asked(self) -> list[ids.VmId]:
-        """The entries asked in the last round."""
-        return list(self._asked_ms)
+        """The entries that received a request in the latest attempt."""
+        return list(self._requested_ms)
 
     def begin(self, now_ms: clock.Millis) -> None:
-        """Starts a round."""
+        """Starts an attempt."""
         self._number += 1
         self._open = True
         self._refused = False
-        self._slowest_ms = 0.0
-        self._begun_ms[self._number] = now_ms
-        if len(self._begun_ms) > ROUNDS_KEPT:
-            self._begun_ms.popitem(last=False)
-        self._asked_ms.clear()
+        self._slowest_answer_ms = 0.0
+        self._started_ms[self._number] = now_ms
+        if len(self._started_ms) > ATTEMPTS_KEPT:
+            self._started_ms.popitem(last=False)
+        self._requested_ms.clear()
         self._usable_until_ms.clear()
 
     def to_ask(
         self, entry_ids: list[ids.VmId], now_ms: clock.Millis
     ) -> list[ids.VmId]:
-        """Returns the entries to ask now, and takes them as asked."""
-        horizon_ms = now_ms - ASK_AGAIN_FRACTION * self._hold_ms
+        """Returns the entries to send a request to, and records them as sent.
+
+        These are the entries without a usable permit that received no request
+        within the last `REQUEST_RETRY_FRACTION` of the validity.
+        """
+        horizon_ms = now_ms - REQUEST_RETRY_FRACTION * self._hold_ms
         found = [
             entry_id
             for entry_id in entry_ids
             if entry_id not in self._usable_until_ms
-            and self._asked_ms.get(entry_id, float("-inf")) <= horizon_ms
+            and self._requested_ms.get(entry_id, float("-inf")) <= horizon_ms
         ]
         for entry_id in found:
-            self._asked_ms[entry_id] = now_ms
+            self._requested_ms[entry_id] = now_ms
         return found
 
     def answered(
@@ -234,22 +262,34 @@
         ttl_ms: float,
         now_ms: clock.Millis,
     ) -> bool:
-        """Records an entry's answer; a permit counts from its round's begin.
+        """Records an entry's answer.
+
+        The validity of a permit counts from the start of its attempt.
+
+        Args:
+          entry_id: the entry that answers.
+          number: number of the attempt that the answer belongs to.
+          granted: whether the entry issued a permit.
+          ttl_ms: validity of the permit.
+          now_ms: time on the agent's clock.
 
         Returns:
-          Whether the answer is a permit to give back, as its round is over.
+          Whether the answer is a permit to give back because its attempt is
+          over.
         """
-        begun_ms = self._begun_ms.get(number)
-        if begun_ms is None:
+        attempt_started_ms = self._started_ms.get(number)
+        if attempt_started_ms is None:
             return granted
-        taken_ms = now_ms - begun_ms
+        delay_ms = now_ms - attempt_started_ms
         if number != self._number or not self._open:
-            self._hold_ms = max(self._hold_ms, self._hold_for(taken_ms))
+            self._hold_ms = max(self._hold_ms, self._hold_for(delay_ms))
             return granted
-        self._slowest_ms = max(self._slowest_ms, taken_ms)
+        self._slowest_answer_ms = max(self._slowest_answer_ms, delay_ms)
         if granted:
-            until_ms = begun_ms + USABLE_FRACTION * min(ttl_ms, self._hold_ms)
-            self._usable_until_ms[entry_id] = until_ms
+            expires_ms = attempt_started_ms + USABLE_FRACTION * min(
+                ttl_ms, self._hold_ms
+            )
+            self._usable_until_ms[entry_id] = expires_ms
         else:
             self._refused = True
         return False
@@ -257,31 +297,37 @@
     def standing(
         self, entry_ids: list[ids.VmId], now_ms: clock.Millis
     ) -> Standing:
-        """Returns how the round stands with the entries heard from."""
+        """Returns the state of the attempt.
+
+        Args:
+          entry_ids: the entries that the agent hears from; all must permit the
+            swap.
+          now_ms: time on the agent's clock.
+        """
         if self._refused:
             return Standing.REFUSED
-        if not self._open or self._over(now_ms):
+        if not self._open or self._is_over(now_ms):
             return Standing.OVER
         if entry_ids and self._usable_until_ms.keys() >= set(entry_ids):
             return Standing.PERMITTED
         return Standing.WAITING
 
     def end(self) -> None:
-        """Ends the round; its permits are used or given back."""
+        """Ends the attempt; its permits have been used or are given back."""
         if self._open and self._usable_until_ms and not self._refused:
-            hold_ms = self._hold_for(self._slowest_ms)
+            hold_ms = self._hold_for(self._slowest_answer_ms)
             self._hold_ms = max(hold_ms, self._hold_ms / 2)
         self._open = False
 
-    def _over(self, now_ms: clock.Millis) -> bool:
-        begun_ms = self._begun_ms[self._number]
-        ends_ms = [
-            begun_ms + USABLE_FRACTION * self._hold_ms,
+    def _is_over(self, now_ms: clock.Millis) -> bool:
+        attempt_started_ms = self._started_ms[self._number]
+        expiries_ms = [
+            attempt_started_ms + USABLE_FRACTION * self._hold_ms,
             *self._usable_until_ms.values(),
         ]
-        return now_ms >= min(ends_ms)
+        return now_ms >= min(expiries_ms)
 
-    def _hold_for(self, taken_ms: float) -> float:
-        """Returns the life of permits whose answers take so long."""
-        hold_ms = HOLD_MARGIN * taken_ms / USABLE_FRACTION
+    def _hold_for(self, delay_ms: float) -> float:
+        """Returns the validity of permits whose answers take `taken_ms`."""
+        hold_ms = HOLD_MARGIN * delay_ms / USABLE_FRACTION
         return min(max(hold_ms, HOLD_MIN_MS), self._hold_max_ms)
--- a/src/marlramp/core/wallet.py
+++ b/src/marlramp/core/wallet.py
@@ -1,4 +1,4 @@
-"""Grants that one entry holds, by agent."""
+"""Pool of the grants that one entry holds, by agent."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 class HeldGrant(msgspec.Struct, frozen=True):
-    """A grant as its holder sees it.
+    """A grant as the entry that holds it sees it.
 
     Attributes:
       vm_id: the agent's VM.
       incarnation: the agent's incarnation.
       number: the grant's number.
-      expires_ms: entry clock reading after which it is not worth using.
+      expires_ms: time on the entry's clock from which the grant is not used.
     """
 
     vm_id: ids.VmId
@@ -29,11 +29,12 @@
 class GrantWallet:
     """Holds grants until they are used or expire.
 
-    The expiry here only avoids useless messages: the agent's ledger decides.
+    The expiry only avoids messages that the agent would refuse; the agent's
+    ledger decides whether a grant is valid.
     """
 
     def __init__(self) -> None:
-        """Starts empty."""
+        """Creates an empty pool."""
         self._held: dict[ids.VmId, collections.deque[HeldGrant]] = {}
 
     def add(
@@ -43,7 +44,7 @@
         numbers: list[ids.GrantNumber],
         expires_ms: float,
     ) -> None:
-        """Adds grants; those of an earlier incarnation are dropped."""
+        """Adds grants of an agent and drops those of another incarnation."""
         held = self._held.setdefault(vm_id, collections.deque())
         if held and held[0].incarnation != incarnation:
             held.clear()
@@ -51,7 +52,7 @@
             held.append(HeldGrant(vm_id, incarnation, number, expires_ms))
 
     def count(self, vm_id: ids.VmId, now_ms: clock.Millis) -> int:
-        """Returns how many usable grants of an agent are held."""
+        """Returns how many usable grants of an agent the pool holds."""
         held = self._held.get(vm_id)
         if held is None:
             return 0
@@ -60,7 +61,7 @@
         return len(held)
 
     def use(self, vm_id: ids.VmId, now_ms: clock.Millis) -> HeldGrant | None:
-        """Removes and returns a usable grant, or None."""
+        """Removes and returns the oldest usable grant, or None."""
         if self.count(vm_id, now_ms) == 0:
             return None
         return self._held[vm_id].popleft()
--- a/tests/core/test_agent_table.py
+++ b/tests/core/test_agent_table.py
@@ -65,7 +65,7 @@
         info.breaker.record_failure(now_ms)
 
 
-def test_only_free_upstream_is_not_used_while_its_breaker_is_open(
+def test_open_breaker_excludes_even_the_only_free_upstream(
     table: agent_table.AgentTable, time: clock.ManualClock, rng: random.Random
 ) -> None:
     grant(table, 0, time.now_ms())
@@ -92,7 +92,7 @@
     assert table.wallet.count(ids.VmId("vm-1"), time.now_ms()) == 0
 
 
-def test_agent_with_newer_settings_gets_no_work(
+def test_agent_with_newer_settings_is_sent_no_work(
     table: agent_table.AgentTable, time: clock.ManualClock
 ) -> None:
     grant(table, 2, time.now_ms())
@@ -102,7 +102,7 @@
     assert table.candidates(POOL, ANY, "", time.now_ms()) == []
 
 
-def test_silent_agents_are_found(
+def test_agents_that_time_out_are_found(
     table: agent_table.AgentTable, time: clock.ManualClock
 ) -> None:
     time.advance(agent_table.HEARD_TIMEOUT_MS + 1)
@@ -110,7 +110,7 @@
     assert len(table.silent(time.now_ms())) == 3
 
 
-def test_changed_breaker_settings_hold_for_known_agents(
+def test_changed_breaker_settings_apply_to_known_agents(
     time: clock.ManualClock,
 ) -> None:
     values = [SETTINGS]
--- a/tests/core/test_crash_ledger.py
+++ b/tests/core/test_crash_ledger.py
@@ -1,4 +1,4 @@
-"""Which requests are condemned for crashes of replicas."""
+"""Blocking of requests that crash replicas, and exchange of the crashes."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 CULPRIT = ids.Fingerprint("culprit")
 NOW_MS = clock.Millis(1_000.0)
 
-TOLD_AT_MOST = 1.3
-"""Times that each crash is told in the mean while ledgers become alike."""
+SENDS_PER_CRASH_MAX = 1.3
+"""Most times that each crash is sent on average until two ledgers agree."""
 
 
 def crash(number: int) -> ids.CrashId:
@@ -33,7 +33,7 @@
     return crash_record.CrashRecord()
 
 
-def note(
+def add_suspects(
     record: crash_record.CrashRecord,
     number: int,
     *requests: ids.Fingerprint,
@@ -47,83 +47,84 @@
 
 
 @pytest.mark.parametrize("others", [0, 4, 10])
-def test_request_at_three_crashes_with_others_by_chance_is_condemned(
+def test_request_at_three_crashes_beside_random_others_is_blocked(
     record: crash_record.CrashRecord, others: int
 ) -> None:
     for number in range(3):
         assert not record.is_condemned(CULPRIT)
         chance = [innocent(100 * number + n) for n in range(others)]
-        note(record, number, CULPRIT, *chance)
+        add_suspects(record, number, CULPRIT, *chance)
     condemned = record.ledger.condemned()
     assert set(condemned) == {CULPRIT}
     assert condemned[CULPRIT].strikes == 3.0
     assert condemned[CULPRIT].crash_ids == [crash(n) for n in range(3)]
 
 
-def test_request_that_brought_events_needs_more_crashes(
+def test_request_with_a_partial_answer_needs_more_crashes(
     record: crash_record.CrashRecord,
 ) -> None:
     for number in range(5):
-        note(record, number, CULPRIT, begun=True)
+        add_suspects(record, number, CULPRIT, begun=True)
         assert not record.is_condemned(CULPRIT)
-    note(record, 5, CULPRIT, begun=True)
+    add_suspects(record, 5, CULPRIT, begun=True)
     assert record.is_condemned(CULPRIT)
 
 
 def test_request_that_followed_the_culprit_is_not_condemned(
     record: crash_record.CrashRecord,
 ) -> None:
-    # It was repeated to the replicas that the culprit reached next.
+    # The innocent request was retried at the replicas that the culprit reached
+    # next.
     for number in range(6):
-        note(record, number, CULPRIT)
+        add_suspects(record, number, CULPRIT)
     for number in range(3):
-        note(record, number, innocent(1))
+        add_suspects(record, number, innocent(1))
     assert set(record.ledger.condemned()) == {CULPRIT}
 
 
-def test_crashes_of_many_requests_alike_condemn_none(
+def test_crashes_that_many_requests_share_block_none(
     record: crash_record.CrashRecord,
 ) -> None:
-    # A whole service ends three times under the same twelve requests.
+    # All replicas of a service crash three times with the same 12 requests.
     for number in range(3):
-        note(record, number, *[innocent(n) for n in range(12)])
+        add_suspects(record, number, *[innocent(n) for n in range(12)])
     assert not record.ledger.condemned()
 
 
-def test_popular_request_is_cleared_by_runs_that_end_well(
+def test_popular_request_is_cleared_by_successful_runs(
     record: crash_record.CrashRecord,
 ) -> None:
     for number in range(20):
         record.note_good(CULPRIT, NOW_MS)
-        note(record, number, CULPRIT)
+        add_suspects(record, number, CULPRIT)
     assert record.ledger.strikes(CULPRIT) == 0.0
-    note(record, 20, CULPRIT)
-    note(record, 21, CULPRIT)
+    add_suspects(record, 20, CULPRIT)
+    add_suspects(record, 21, CULPRIT)
     record.note_good(CULPRIT, NOW_MS)
     assert record.ledger.strikes(CULPRIT) == 1.0
 
 
-def test_request_that_crashes_most_of_its_runs_is_condemned(
+def test_request_that_crashes_most_of_its_runs_is_blocked(
     record: crash_record.CrashRecord,
 ) -> None:
     number = 0
     for _ in range(3):
         record.note_good(CULPRIT, NOW_MS)
-        note(record, number, CULPRIT)
-        note(record, number + 1, CULPRIT)
+        add_suspects(record, number, CULPRIT)
+        add_suspects(record, number + 1, CULPRIT)
         number += 2
     assert record.is_condemned(CULPRIT)
 
 
-def test_one_crash_told_by_several_entries_is_one_strike(
+def test_one_crash_reported_by_several_entries_is_one_strike(
     record: crash_record.CrashRecord,
 ) -> None:
-    told = crash_ledger.Crash(
+    sent = crash_ledger.Crash(
         crash(0), 50.0, [crash_ledger.Suspect(CULPRIT, begun=True)]
     )
     for _ in range(4):
-        record.merge([told], NOW_MS)
-        note(record, 0, CULPRIT)
+        record.merge([sent], NOW_MS)
+        add_suspects(record, 0, CULPRIT)
     assert record.ledger.strikes(CULPRIT) == 1.0
 
 
@@ -141,47 +142,49 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_ledgers_agree_whatever_order_news_come_in(seed: int) -> None:
+def test_ledgers_agree_for_any_order_of_updates(seed: int) -> None:
     rng = random.Random(seed)
     records = [crash_record.CrashRecord() for _ in range(3)]
-    told: list[crash_ledger.Crash] = []
+    sent: list[crash_ledger.Crash] = []
     for number, one in itertools.product(range(6), records):
-        note(one, number, CULPRIT, innocent(rng.randrange(4)))
+        add_suspects(one, number, CULPRIT, innocent(rng.randrange(4)))
         if rng.random() < 0.3:
             one.note_good(innocent(rng.randrange(4)), NOW_MS)
-        told += one.ledger.told(one.take_untold(), NOW_MS)
+        sent += one.ledger.told(one.take_untold(), NOW_MS)
     for one in records:
-        for news in rng.choices(told, k=40):
-            one.merge([news], NOW_MS)
-        one.merge(rng.sample(told, len(told)), NOW_MS)
-    # Runs that a ledger held clear more once news of a crash come.
+        for update in rng.choices(sent, k=40):
+            one.merge([update], NOW_MS)
+        one.merge(rng.sample(sent, len(sent)), NOW_MS)
+    # Successful runs that a record holds clear more suspects once an update of
+    # a crash arrives.
+
     for one, other in itertools.permutations(records, 2):
         crashes = other.ledger.differing(one.ledger.digests(), rng)
         one.merge(other.ledger.told(crashes, NOW_MS), NOW_MS)
     assert len({one.ledger.digest() for one in records}) == 1
-    verdicts = [set(one.ledger.condemned()) for one in records]
-    assert verdicts[0] == verdicts[1] == verdicts[2]
+    blocked_sets = [set(one.ledger.condemned()) for one in records]
+    assert blocked_sets[0] == blocked_sets[1] == blocked_sets[2]
 
 
-def test_crashes_of_the_condemned_are_kept_and_others_forgotten(
+def test_crashes_of_blocked_requests_are_kept_and_others_dropped(
     record: crash_record.CrashRecord,
 ) -> None:
     for number in range(3):
-        note(record, number, CULPRIT)
-    note(record, 3, innocent(1))
+        add_suspects(record, number, CULPRIT)
+    add_suspects(record, 3, innocent(1))
     later_ms = NOW_MS + crash_ledger.CRASH_AGE_MAX_MS + 1.0
     record.tick(clock.Millis(later_ms))
     assert record.is_condemned(CULPRIT)
     assert record.ledger.strikes(innocent(1)) == 0.0
 
 
-def test_ledger_holds_a_bounded_number_of_crashes(
+def test_ledger_holds_at_most_crashes_max(
     record: crash_record.CrashRecord,
 ) -> None:
     for number in range(3):
-        note(record, number, CULPRIT)
+        add_suspects(record, number, CULPRIT)
     for number in range(3, crash_ledger.CRASHES_MAX + 50):
-        note(record, number, innocent(number))
+        add_suspects(record, number, innocent(number))
     record.tick(NOW_MS)
     known = record.ledger.told(
         [crash(n) for n in range(crash_ledger.CRASHES_MAX + 50)], NOW_MS
@@ -194,7 +197,7 @@
     record: crash_record.CrashRecord,
 ) -> None:
     for number in range(3):
-        note(record, number, CULPRIT)
+        add_suspects(record, number, CULPRIT)
     other = crash_record.CrashRecord()
     crashes = [crash(n) for n in range(3)]
     other.merge(record.ledger.told(crashes, NOW_MS), NOW_MS)
@@ -204,9 +207,11 @@
     assert not other.is_condemned(CULPRIT)
 
 
-def test_verdicts_are_told_once(record: crash_record.CrashRecord) -> None:
+def test_block_changes_are_returned_once(
+    record: crash_record.CrashRecord,
+) -> None:
     for number in range(3):
-        note(record, number, CULPRIT)
+        add_suspects(record, number, CULPRIT)
     assert set(record.take_verdicts().condemned) == {CULPRIT}
     assert not record.take_verdicts().condemned
     record.clear(CULPRIT)
@@ -214,7 +219,7 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_ledger_that_starts_beside_a_full_one_is_told_each_crash_about_once(
+def test_empty_ledger_is_sent_each_crash_of_a_full_one_about_once(
     seed: int,
 ) -> None:
     full = crash_ledger.CrashLedger()
@@ -222,10 +227,10 @@
         full.note(crash(number), innocent(number), begun=False, now_ms=NOW_MS)
     started = crash_ledger.CrashLedger()
     rng = random.Random(seed)
-    told = 0
+    sent = 0
     while started.digest() != full.digest():
         crashes = full.differing(started.digests(), rng)
-        told += len(crashes)
+        sent += len(crashes)
         for each in full.told(crashes, NOW_MS):
             started.merge(each, NOW_MS)
-    assert told <= TOLD_AT_MOST * crash_ledger.CRASHES_MAX
+    assert sent <= SENDS_PER_CRASH_MAX * crash_ledger.CRASHES_MAX
--- a/tests/core/test_grants.py
+++ b/tests/core/test_grants.py
@@ -21,7 +21,7 @@
     return result
 
 
-def test_grant_is_taken_once(
+def test_grant_is_consumed_once(
     ledger: grants.GrantLedger, time: clock.ManualClock
 ) -> None:
     number = ledger.issue(ENTRY, 1, time.now_ms())[0]
@@ -31,7 +31,7 @@
     assert again.kind is errors.ErrorKind.RUN_ALREADY_STARTED
 
 
-def test_expired_grant_proves_not_run(
+def test_request_with_an_expired_grant_did_not_run(
     ledger: grants.GrantLedger, time: clock.ManualClock
 ) -> None:
     number = ledger.issue(ENTRY, 1, time.now_ms())[0]
@@ -54,7 +54,7 @@
     assert refusal.ran is errors.Ran.UNKNOWN
 
 
-def test_forgotten_token_is_unknown_not_unrun(
+def test_token_past_the_retention_time_may_have_run(
     ledger: grants.GrantLedger, time: clock.ManualClock
 ) -> None:
     number = ledger.reserve(ENTRY, time.now_ms())
@@ -69,7 +69,7 @@
     assert refusal.ran is errors.Ran.UNKNOWN
 
 
-def test_cancel_that_overtakes_its_run_wins(
+def test_cancel_that_overtakes_its_request_voids_the_grant(
     ledger: grants.GrantLedger, time: clock.ManualClock
 ) -> None:
     number = ledger.issue(ENTRY, 1, time.now_ms())[0]
@@ -80,7 +80,7 @@
     assert refusal.ran is errors.Ran.NO
 
 
-def test_closing_voids_what_is_out(
+def test_closing_voids_outstanding_grants(
     ledger: grants.GrantLedger, time: clock.ManualClock
 ) -> None:
     number = ledger.issue(ENTRY, 1, time.now_ms())[0]
--- a/tests/core/test_request_fingerprint.py
+++ b/tests/core/test_request_fingerprint.py
@@ -10,7 +10,7 @@
 REQUEST = ("POST", "a.example", b"/chat/x?n=1", ids.CustomerId("c"), b"text")
 
 
-def test_fingerprint_is_the_same_for_the_same_request() -> None:
+def test_equal_requests_have_equal_fingerprints() -> None:
     first = request_fingerprint.fingerprint(*REQUEST)
     assert first == request_fingerprint.fingerprint(*REQUEST)
     assert len(first) == 2 * request_fingerprint.FINGERPRINT_BYTES
--- a/tests/core/test_swap.py
+++ b/tests/core/test_swap.py
@@ -35,12 +35,12 @@
     ]
 
 
-def test_agents_that_hold_each_others_permits_come_through(
+def test_agents_that_hold_each_others_permits_do_not_deadlock(
     time: clock.ManualClock,
 ) -> None:
     desks = [swap.PermitDesk(LONG_AGO), swap.PermitDesk(LONG_AGO)]
     for number in range(20):
-        # Each is the first at another entry, again and again.
+        # Each agent is the first at one entry, in every attempt.
         assert ask(desks[0], A, time.now_ms(), number)
         assert ask(desks[1], B, time.now_ms(), number)
         assert not ask(desks[1], A, time.now_ms(), number)
@@ -52,7 +52,7 @@
     assert all(ask(desk, A, time.now_ms()) for desk in desks)
 
 
-def test_answer_of_an_earlier_round_permits_nothing(
+def test_answer_of_an_earlier_attempt_permits_nothing(
     time: clock.ManualClock,
 ) -> None:
     permits = swap.PermitRound()
@@ -61,7 +61,7 @@
     permits.answered(ENTRIES[0], first, True, 3_000.0, time.now_ms())
     permits.end()
     permits.begin(time.now_ms())
-    # Each is to be given back: the withdrawal may have been lost.
+    # The agent must give each permit back: the withdrawal may be lost.
     assert answer_all(permits, first, time.now_ms()) == [True, True]
     waits = permits.standing(ENTRIES, time.now_ms())
     assert waits is swap.Standing.WAITING
@@ -70,7 +70,9 @@
     assert found is swap.Standing.PERMITTED
 
 
-def test_permit_counts_from_the_question(time: clock.ManualClock) -> None:
+def test_permit_validity_counts_from_the_request(
+    time: clock.ManualClock,
+) -> None:
     permits = swap.PermitRound()
     permits.begin(time.now_ms())
     usable_ms = swap.USABLE_FRACTION * swap.HOLD_MIN_MS
@@ -82,10 +84,10 @@
     assert permits.standing(ENTRIES, time.now_ms()) is swap.Standing.OVER
 
 
-def test_agent_never_uses_a_permit_that_its_entry_has_ended(
+def test_agent_never_uses_a_permit_that_expired_at_its_entry(
     time: clock.ManualClock,
 ) -> None:
-    # Its life is the shorter one, though the question came at once.
+    # The agent's expiry is the earlier one, even without network delay.
     desk = swap.PermitDesk(LONG_AGO)
     permits = swap.PermitRound()
     permits.begin(time.now_ms())
@@ -97,15 +99,19 @@
     assert not ask(desk, B, time.now_ms())
 
 
-def test_answers_of_ten_seconds_permit_a_swap(time: clock.ManualClock) -> None:
-    # Each round was over before its answers came, in every round.
+def test_answers_delayed_by_ten_seconds_permit_a_swap(
+    time: clock.ManualClock,
+) -> None:
+    # Guards against a fixed validity of permits: every attempt then expires
+    # before its answers arrive.
+
     permits = swap.PermitRound()
-    on_their_way: list[tuple[float, int, float]] = []
+    in_flight: list[tuple[float, int, float]] = []
     permits.begin(time.now_ms())
     for _ in range(600):
         now_ms = time.now_ms()
-        while on_their_way and on_their_way[0][0] <= now_ms:
-            _, number, hold_ms = on_their_way.pop(0)
+        while in_flight and in_flight[0][0] <= now_ms:
+            _, number, hold_ms = in_flight.pop(0)
             for entry_id in ENTRIES:
                 permits.answered(entry_id, number, True, hold_ms, now_ms)
         found = permits.standing(ENTRIES, now_ms)
@@ -116,12 +122,12 @@
             permits.begin(now_ms)
         if permits.to_ask(ENTRIES, now_ms):
             due_ms = now_ms + 10_000.0
-            on_their_way.append((due_ms, permits.number, permits.hold_ms))
+            in_flight.append((due_ms, permits.number, permits.hold_ms))
         time.advance(100.0)
     raise AssertionError("no swap within 60 s")
 
 
-def test_permit_of_the_new_round_outlives_a_late_withdrawal(
+def test_late_withdrawal_does_not_release_a_newer_permit(
     time: clock.ManualClock,
 ) -> None:
     desk = swap.PermitDesk(LONG_AGO)
@@ -133,10 +139,10 @@
     assert ask(desk, B, time.now_ms())
 
 
-def test_entry_that_started_again_permits_nothing_that_it_may_have_forgotten(
+def test_restarted_entry_refuses_while_earlier_permits_may_be_valid(
     time: clock.ManualClock,
 ) -> None:
-    # The process before may have permitted another replica a moment ago.
+    # The previous process may just have permitted another replica to stop.
     desk = swap.PermitDesk(time.now_ms())
     time.advance(swap.HOLD_MIN_MS - 1.0)
     assert not ask(desk, A, time.now_ms())
@@ -144,10 +150,10 @@
     assert ask(desk, A, time.now_ms())
 
 
-def test_permit_of_a_replica_whose_link_is_lost_counts_until_it_ends(
+def test_permit_of_a_replica_whose_link_is_lost_counts_until_it_expires(
     time: clock.ManualClock,
 ) -> None:
-    # It may be paused, and swap when it goes on.
+    # The replica may be paused, and swap once it resumes.
     desk = swap.PermitDesk(LONG_AGO)
     assert ask(desk, A, time.now_ms())
     assert not ask(desk, B, time.now_ms(), replicas=REPLICAS[1:])
@@ -155,21 +161,24 @@
     assert ask(desk, B, time.now_ms(), replicas=REPLICAS[1:])
 
 
-def test_entry_without_an_answer_is_asked_again(
+def test_request_to_an_entry_without_an_answer_is_repeated(
     time: clock.ManualClock,
 ) -> None:
     permits = swap.PermitRound()
     permits.begin(time.now_ms())
     assert permits.to_ask(ENTRIES[:1], time.now_ms()) == ENTRIES[:1]
-    # One heard for the first time is asked in the same round.
+    # An entry that is heard first now gets a request in the same attempt.
+
     assert permits.to_ask(ENTRIES, time.now_ms()) == ENTRIES[1:]
     number = permits.number
     permits.answered(ENTRIES[1], number, True, 3_000.0, time.now_ms())
-    time.advance(swap.ASK_AGAIN_FRACTION * swap.HOLD_MIN_MS)
+    time.advance(swap.REQUEST_RETRY_FRACTION * swap.HOLD_MIN_MS)
     assert permits.to_ask(ENTRIES, time.now_ms()) == ENTRIES[:1]
 
 
-def test_entry_that_left_holds_no_round_up(time: clock.ManualClock) -> None:
+def test_entry_that_left_does_not_block_an_attempt(
+    time: clock.ManualClock,
+) -> None:
     permits = swap.PermitRound()
     permits.begin(time.now_ms())
     number = permits.number
