--- a/models/grants.py
+++ b/models/grants.py
@@ -253,7 +253,7 @@
             self.model_state = _restart(state)
 
     def _deliver(self) -> None:
-        refusal = self.ledger.take(
+        refusal = self.ledger.consume(
             self.first,
             self.number,
             _ENTRY,
--- a/src/marlramp/agent/runs.py
+++ b/src/marlramp/agent/runs.py
@@ -131,7 +131,7 @@
         if self.paused:
             self._refuse(subscriber, errors.ErrorKind.UPSTREAM_BUSY)
             return
-        refusal = self._ledger.take(
+        refusal = self._ledger.consume(
             ids.Incarnation(run.incarnation),
             number,
             entry_id,
--- a/src/marlramp/core/grants.py
+++ b/src/marlramp/core/grants.py
@@ -182,7 +182,7 @@
             return None
         return self._issue_one(entry_id, now_ms, reserved=True)
 
-    def take(
+    def consume(
         self,
         incarnation: ids.Incarnation,
         number: ids.GrantNumber,
--- a/tests/core/test_grants.py
+++ b/tests/core/test_grants.py
@@ -25,8 +25,8 @@
     ledger: grants.GrantLedger, time: clock.ManualClock
 ) -> None:
     number = ledger.issue(ENTRY, 1, time.now_ms())[0]
-    assert ledger.take(INCARNATION, number, ENTRY, time.now_ms()) is None
-    again = ledger.take(INCARNATION, number, OTHER, time.now_ms())
+    assert ledger.consume(INCARNATION, number, ENTRY, time.now_ms()) is None
+    again = ledger.consume(INCARNATION, number, OTHER, time.now_ms())
     assert again is not None
     assert again.kind is errors.ErrorKind.RUN_ALREADY_STARTED
 
@@ -36,14 +36,14 @@
 ) -> None:
     number = ledger.issue(ENTRY, 1, time.now_ms())[0]
     time.advance(5_001)
-    refusal = ledger.take(INCARNATION, number, ENTRY, time.now_ms())
+    refusal = ledger.consume(INCARNATION, number, ENTRY, time.now_ms())
     assert refusal == grants.Refusal(errors.ErrorKind.GRANT_VOID, errors.Ran.NO)
 
 
 def test_token_of_earlier_incarnation_is_unknown(
     ledger: grants.GrantLedger, time: clock.ManualClock
 ) -> None:
-    refusal = ledger.take(
+    refusal = ledger.consume(
         ids.Incarnation(6),
         ids.GrantNumber(1),
         ENTRY,
@@ -59,10 +59,10 @@
 ) -> None:
     number = ledger.reserve(ENTRY, time.now_ms())
     assert number is not None
-    ledger.take(INCARNATION, number, ENTRY, time.now_ms(), from_token=True)
+    ledger.consume(INCARNATION, number, ENTRY, time.now_ms(), from_token=True)
     ledger.finish(number, grants.RunState.SUCCEEDED, time.now_ms())
     time.advance(grants.RUN_RETENTION_MS + 1)
-    refusal = ledger.take(
+    refusal = ledger.consume(
         INCARNATION, number, ENTRY, time.now_ms(), from_token=True
     )
     assert refusal is not None
@@ -75,7 +75,7 @@
     number = ledger.issue(ENTRY, 1, time.now_ms())[0]
     state = ledger.cancel(INCARNATION, number, time.now_ms())
     assert state is grants.RunState.VOID
-    refusal = ledger.take(INCARNATION, number, ENTRY, time.now_ms())
+    refusal = ledger.consume(INCARNATION, number, ENTRY, time.now_ms())
     assert refusal is not None
     assert refusal.ran is errors.Ran.NO
 
@@ -85,7 +85,7 @@
 ) -> None:
     number = ledger.issue(ENTRY, 1, time.now_ms())[0]
     ledger.close(time.now_ms())
-    assert ledger.take(INCARNATION, number, ENTRY, time.now_ms()) is not None
+    assert ledger.consume(INCARNATION, number, ENTRY, time.now_ms()) is not None
     assert ledger.issue(ENTRY, 4, time.now_ms()) == []
 
 
@@ -93,10 +93,10 @@
     ledger: grants.GrantLedger, time: clock.ManualClock
 ) -> None:
     for number in ledger.issue(ENTRY, 4, time.now_ms()):
-        ledger.take(INCARNATION, number, ENTRY, time.now_ms())
+        ledger.consume(INCARNATION, number, ENTRY, time.now_ms())
     reserved = ledger.reserve(ENTRY, time.now_ms())
     assert reserved is not None
-    refusal = ledger.take(
+    refusal = ledger.consume(
         INCARNATION, reserved, ENTRY, time.now_ms(), from_token=True
     )
     assert refusal == grants.Refusal(
