--- a/src/marlramp/core/agent_table.py
+++ b/src/marlramp/core/agent_table.py
@@ -9,9 +9,9 @@
 from marlramp import counters
 from marlramp import ids
 from marlramp.core import breaker
+from marlramp.core import grant_pool
 from marlramp.core import routing
 from marlramp.core import swap
-from marlramp.core import wallet
 from marlramp.protocol import messages
 from marlramp.settings import schema
 
@@ -93,7 +93,7 @@
         Args:
           settings_of: returns the settings in force for a service.
         """
-        self.wallet = wallet.GrantWallet()
+        self.grant_pool = grant_pool.GrantPool()
         self._agents: dict[ids.VmId, AgentInfo] = {}
         self._settings_of = settings_of
 
@@ -126,12 +126,12 @@
                 values.breaker_failures_max, values.breaker_open_ms
             )
             self._agents[vm_id] = AgentInfo(message, new_breaker)
-            self.wallet.drop(vm_id)
+            self.grant_pool.drop(vm_id)
         info = self._agents[vm_id]
         info.report = message
         info.heard_ms = now_ms
         if message.state is not messages.AgentState.READY:
-            self.wallet.drop(vm_id)
+            self.grant_pool.drop(vm_id)
         return restarted
 
     def settings_changed(self) -> None:
@@ -164,7 +164,7 @@
     def remove(self, vm_id: ids.VmId) -> None:
         """Removes an agent and its grants."""
         self._agents.pop(vm_id, None)
-        self.wallet.drop(vm_id)
+        self.grant_pool.drop(vm_id)
 
     def silent(self, now_ms: clock.Millis) -> list[ids.VmId]:
         """Returns the agents that sent nothing for `HEARD_TIMEOUT_MS`."""
@@ -218,7 +218,7 @@
             for info in serving
             if not info.ahead
             and version in ("", info.report.version)
-            and self.wallet.count(info.vm_id, now_ms) > 0
+            and self.grant_pool.count(info.vm_id, now_ms) > 0
         ]
 
     def _candidate(
--- a/src/marlramp/core/wallet.py
+++ b/src/marlramp/core/grant_pool.py
@@ -26,7 +26,7 @@
     expires_ms: float
 
 
-class GrantWallet:
+class GrantPool:
     """Holds grants until they are used or expire.
 
     The expiry only avoids messages that the agent would refuse; the agent's
--- a/src/marlramp/entry/call.py
+++ b/src/marlramp/entry/call.py
@@ -9,9 +9,9 @@
 from marlramp import ids
 from marlramp.core import assembly
 from marlramp.core import calls
+from marlramp.core import grant_pool
 from marlramp.core import queueing
 from marlramp.core import run_tokens
-from marlramp.core import wallet
 
 
 class Call:
@@ -44,7 +44,7 @@
         self.state = state
         self.waiting = waiting
         self.token = token
-        self.grant: wallet.HeldGrant | None = None
+        self.grant: grant_pool.HeldGrant | None = None
         self.try_id = ids.RequestId("")
         self.admitted_ms = admitted_ms
         self.started_ms = 0.0
--- a/src/marlramp/entry/dispatcher.py
+++ b/src/marlramp/entry/dispatcher.py
@@ -18,11 +18,11 @@
 from marlramp import logs
 from marlramp.core import agent_table
 from marlramp.core import calls
+from marlramp.core import grant_pool
 from marlramp.core import queueing
 from marlramp.core import retries
 from marlramp.core import routing
 from marlramp.core import run_tokens
-from marlramp.core import wallet
 from marlramp.entry import admission as admission_module
 from marlramp.entry import call as call_module
 from marlramp.entry import questions
@@ -166,7 +166,7 @@
     ) -> None:
         """Takes grants and starts waiting calls."""
         now_ms = self._clock.now_ms()
-        self._table.wallet.add(
+        self._table.grant_pool.add(
             vm_id,
             ids.Incarnation(message.incarnation),
             [
@@ -312,7 +312,7 @@
 
     def _choose_grant(
         self, call: call_module.Call, now_ms: clock.Millis
-    ) -> wallet.HeldGrant | None:
+    ) -> grant_pool.HeldGrant | None:
         candidates = self._table.candidates(
             call.spec.service_id,
             call.state.needed_version,
@@ -325,7 +325,7 @@
         chosen = chooser(fresh or candidates, self._rng)
         if chosen is None:
             return None
-        return self._table.wallet.use(chosen.vm_id, now_ms)
+        return self._table.grant_pool.use(chosen.vm_id, now_ms)
 
     def _version_gone(self, call: call_module.Call) -> bool:
         """Returns whether a stream cannot be resumed on its version."""
@@ -335,7 +335,9 @@
             for info in self._table.serving(call.spec.service_id)
         )
 
-    def _start(self, call: call_module.Call, grant: wallet.HeldGrant) -> None:
+    def _start(
+        self, call: call_module.Call, grant: grant_pool.HeldGrant
+    ) -> None:
         now_ms = self._clock.now_ms()
         call.grant = grant
         call.try_id = self._questions.new_id()
@@ -359,7 +361,7 @@
     def _start_token_run(
         self, call: call_module.Call, token: run_tokens.RunToken
     ) -> None:
-        grant = wallet.HeldGrant(
+        grant = grant_pool.HeldGrant(
             ids.VmId(token.vm_id),
             ids.Incarnation(token.incarnation),
             ids.GrantNumber(token.number),
@@ -368,7 +370,7 @@
         self._start(call, grant)
 
     def _run_message(
-        self, call: call_module.Call, grant: wallet.HeldGrant
+        self, call: call_module.Call, grant: grant_pool.HeldGrant
     ) -> messages.Run:
         spec = call.spec
         return messages.Run(
--- a/tests/core/test_agent_table.py
+++ b/tests/core/test_agent_table.py
@@ -48,7 +48,7 @@
 def grant(
     table: agent_table.AgentTable, number: int, now_ms: clock.Millis
 ) -> None:
-    table.wallet.add(
+    table.grant_pool.add(
         ids.VmId(f"vm-{number}"),
         ids.Incarnation(1),
         [ids.GrantNumber(1)],
@@ -89,7 +89,7 @@
 ) -> None:
     grant(table, 1, time.now_ms())
     assert table.report(report(1, incarnation=2), time.now_ms())
-    assert table.wallet.count(ids.VmId("vm-1"), time.now_ms()) == 0
+    assert table.grant_pool.count(ids.VmId("vm-1"), time.now_ms()) == 0
 
 
 def test_agent_with_newer_settings_is_sent_no_work(
