--- a/src/marlramp/core/crash_record.py
+++ b/src/marlramp/core/crash_record.py
@@ -16,7 +16,7 @@
 from marlramp import clock
 from marlramp import ids
 from marlramp.core import crash_ledger
-from marlramp.core import good_runs
+from marlramp.core import successful_runs
 
 ISOLATION_STRIKES = 1.0
 """Strikes from which a request is sent where the fewest others run: if the
@@ -45,7 +45,7 @@
     def __init__(self) -> None:
         """Creates an empty record."""
         self.ledger = crash_ledger.CrashLedger()
-        self._successes = good_runs.GoodRuns()
+        self._successes = successful_runs.SuccessfulRuns()
         self._changed: set[ids.CrashId] = set()
         self._reported_blocked: set[ids.Fingerprint] = set()
 
@@ -79,7 +79,7 @@
         """Records a run that ended without a crash."""
         crash = self.ledger.clear_one(fingerprint)
         if crash is None:
-            self._successes.note(fingerprint, now_ms)
+            self._successes.record(fingerprint, now_ms)
         else:
             self._changed.add(crash)
 
--- a/src/marlramp/core/good_runs.py
+++ b/src/marlramp/core/successful_runs.py
@@ -29,7 +29,7 @@
     last_ms: float
 
 
-class GoodRuns:
+class SuccessfulRuns:
     """Successful runs by request."""
 
     def __init__(self) -> None:
@@ -38,7 +38,9 @@
             collections.OrderedDict()
         )
 
-    def note(self, fingerprint: ids.Fingerprint, now_ms: clock.Millis) -> None:
+    def record(
+        self, fingerprint: ids.Fingerprint, now_ms: clock.Millis
+    ) -> None:
         """Counts a successful run."""
         runs = self._runs.setdefault(fingerprint, _Runs(0, now_ms))
         runs.count = min(RUNS_MAX, runs.count + 1)
