--- a/src/marlramp/core/crash_ledger.py
+++ b/src/marlramp/core/crash_ledger.py
@@ -138,7 +138,7 @@
 
     # Observations and updates.
 
-    def note(
+    def add_suspect(
         self,
         crash: ids.CrashId,
         fingerprint: ids.Fingerprint,
--- a/src/marlramp/core/crash_record.py
+++ b/src/marlramp/core/crash_record.py
@@ -70,7 +70,7 @@
         """
         if self._successes.try_spend(fingerprint, now_ms):
             return
-        self.ledger.note(crash, fingerprint, begun=begun, now_ms=now_ms)
+        self.ledger.add_suspect(crash, fingerprint, begun=begun, now_ms=now_ms)
         self._changed.add(crash)
 
     def note_good(
--- a/tests/core/test_crash_ledger.py
+++ b/tests/core/test_crash_ledger.py
@@ -224,7 +224,9 @@
 ) -> None:
     full = crash_ledger.CrashLedger()
     for number in range(crash_ledger.CRASHES_MAX):
-        full.note(crash(number), innocent(number), begun=False, now_ms=NOW_MS)
+        full.add_suspect(
+            crash(number), innocent(number), begun=False, now_ms=NOW_MS
+        )
     started = crash_ledger.CrashLedger()
     rng = random.Random(seed)
     sent = 0
