--- a/src/marlramp/core/crash_ledger.py
+++ b/src/marlramp/core/crash_ledger.py
@@ -316,7 +316,7 @@
 
     # Exchange with other processes.
 
-    def told(
+    def export(
         self, crashes: Iterable[ids.CrashId], now_ms: clock.Millis
     ) -> list[Crash]:
         """Returns crashes in the form that is sent to other processes.
--- a/src/marlramp/direct/fleet/crash_keeper.py
+++ b/src/marlramp/direct/fleet/crash_keeper.py
@@ -102,7 +102,7 @@
     def _answer(self, name: str, request: fleet_messages.CrashRequest) -> None:
         """Tells an entry what it lacks, and asks it for the same."""
         crashes = self._ledger.differing(request.digests, self._rng)
-        told = self._ledger.told(crashes, self._clock.now_ms())
+        told = self._ledger.export(crashes, self._clock.now_ms())
         if told:
             news = fleet_messages.CrashNews(crashes=told, answers=True)
             self._send(name, news)
--- a/src/marlramp/direct/fleet/crash_sync.py
+++ b/src/marlramp/direct/fleet/crash_sync.py
@@ -128,7 +128,7 @@
         ledger = self._record.ledger
         crashes = ledger.differing(request.digests, self._rng)
         now_ms = self._clock.now_ms()
-        told = ledger.told(crashes, now_ms)
+        told = ledger.export(crashes, now_ms)
         if told:
             news = fleet_messages.CrashNews(crashes=told, answers=True)
             self._sync.send(name, news)
@@ -142,7 +142,7 @@
             self._forgot_ms = now_ms
             self._record.tick(now_ms)
         self._queue_untold(now_ms)
-        crashes = self._record.ledger.told(self._rumours.take(now_ms), now_ms)
+        crashes = self._record.ledger.export(self._rumours.take(now_ms), now_ms)
         if crashes:
             self._sync.send_some(fleet_messages.CrashNews(crashes=crashes))
         self._log_verdicts()
@@ -157,7 +157,7 @@
     def _tell_first(self) -> None:
         self._gathering = False
         now_ms = self._clock.now_ms()
-        crashes = self._record.ledger.told(self._queue_untold(now_ms), now_ms)
+        crashes = self._record.ledger.export(self._queue_untold(now_ms), now_ms)
         if not crashes:
             return
         alive = self._sync.alive(members.MemberKind.ENTRY)
--- a/tests/core/test_crash_ledger.py
+++ b/tests/core/test_crash_ledger.py
@@ -150,7 +150,7 @@
         add_suspects(one, number, CULPRIT, innocent(rng.randrange(4)))
         if rng.random() < 0.3:
             one.note_good(innocent(rng.randrange(4)), NOW_MS)
-        sent += one.ledger.told(one.take_untold(), NOW_MS)
+        sent += one.ledger.export(one.take_untold(), NOW_MS)
     for one in records:
         for update in rng.choices(sent, k=40):
             one.merge([update], NOW_MS)
@@ -160,7 +160,7 @@
 
     for one, other in itertools.permutations(records, 2):
         crashes = other.ledger.differing(one.ledger.digests(), rng)
-        one.merge(other.ledger.told(crashes, NOW_MS), NOW_MS)
+        one.merge(other.ledger.export(crashes, NOW_MS), NOW_MS)
     assert len({one.ledger.digest() for one in records}) == 1
     blocked_sets = [set(one.ledger.condemned()) for one in records]
     assert blocked_sets[0] == blocked_sets[1] == blocked_sets[2]
@@ -186,7 +186,7 @@
     for number in range(3, crash_ledger.CRASHES_MAX + 50):
         add_suspects(record, number, innocent(number))
     record.tick(NOW_MS)
-    known = record.ledger.told(
+    known = record.ledger.export(
         [crash(n) for n in range(crash_ledger.CRASHES_MAX + 50)], NOW_MS
     )
     assert len(known) == crash_ledger.CRASHES_MAX
@@ -200,10 +200,10 @@
         add_suspects(record, number, CULPRIT)
     other = crash_record.CrashRecord()
     crashes = [crash(n) for n in range(3)]
-    other.merge(record.ledger.told(crashes, NOW_MS), NOW_MS)
+    other.merge(record.ledger.export(crashes, NOW_MS), NOW_MS)
     assert other.is_condemned(CULPRIT)
     assert record.clear(CULPRIT) == 3
-    other.merge(record.ledger.told(crashes, NOW_MS), NOW_MS)
+    other.merge(record.ledger.export(crashes, NOW_MS), NOW_MS)
     assert not other.is_condemned(CULPRIT)
 
 
@@ -233,6 +233,6 @@
     while started.digest() != full.digest():
         crashes = full.differing(started.digests(), rng)
         sent += len(crashes)
-        for each in full.told(crashes, NOW_MS):
+        for each in full.export(crashes, NOW_MS):
             started.merge(each, NOW_MS)
     assert sent <= SENDS_PER_CRASH_MAX * crash_ledger.CRASHES_MAX
