--- a/src/marlramp/core/crash_ledger.py
+++ b/src/marlramp/core/crash_ledger.py
@@ -251,7 +251,7 @@
         """Returns the crashes that block a request."""
         return {
             crash
-            for evidence in self.condemned().values()
+            for evidence in self.blocked().values()
             for crash in evidence.crash_ids
         }
 
@@ -272,7 +272,7 @@
             for crash in self._crashes_of.get(fingerprint, ())
         )
 
-    def condemned(self) -> dict[ids.Fingerprint, Evidence]:
+    def blocked(self) -> dict[ids.Fingerprint, Evidence]:
         """Returns the blocked requests and the evidence against each."""
         if self._blocked is None:
             self._blocked = self._find_blocked()
--- a/src/marlramp/core/crash_record.py
+++ b/src/marlramp/core/crash_record.py
@@ -115,7 +115,7 @@
 
     def is_condemned(self, fingerprint: ids.Fingerprint) -> bool:
         """Returns whether a request is blocked."""
-        return fingerprint in self.ledger.condemned()
+        return fingerprint in self.ledger.blocked()
 
     def runs_alone(self, fingerprint: ids.Fingerprint) -> bool:
         """Returns whether a request is sent where the fewest others run."""
@@ -136,7 +136,7 @@
 
     def take_verdicts(self) -> Verdicts:
         """Returns how the blocked requests changed since the previous call."""
-        now = self.ledger.condemned()
+        now = self.ledger.blocked()
         fresh = {
             name: now[name]
             for name in now
--- a/src/marlramp/direct/crash_pages.py
+++ b/src/marlramp/direct/crash_pages.py
@@ -45,7 +45,7 @@
 
 def rows_of(record: crash_record.CrashRecord) -> list[SuspectRow]:
     """Returns the suspects, those with the most strikes first."""
-    condemned = record.ledger.condemned()
+    condemned = record.ledger.blocked()
     rows = [
         SuspectRow(
             fingerprint=fingerprint,
--- a/tests/core/test_crash_ledger.py
+++ b/tests/core/test_crash_ledger.py
@@ -54,7 +54,7 @@
         assert not record.is_condemned(CULPRIT)
         chance = [innocent(100 * number + n) for n in range(others)]
         add_suspects(record, number, CULPRIT, *chance)
-    condemned = record.ledger.condemned()
+    condemned = record.ledger.blocked()
     assert set(condemned) == {CULPRIT}
     assert condemned[CULPRIT].strikes == 3.0
     assert condemned[CULPRIT].crash_ids == [crash(n) for n in range(3)]
@@ -79,7 +79,7 @@
         add_suspects(record, number, CULPRIT)
     for number in range(3):
         add_suspects(record, number, innocent(1))
-    assert set(record.ledger.condemned()) == {CULPRIT}
+    assert set(record.ledger.blocked()) == {CULPRIT}
 
 
 def test_crashes_that_many_requests_share_block_none(
@@ -88,7 +88,7 @@
     # All replicas of a service crash three times with the same 12 requests.
     for number in range(3):
         add_suspects(record, number, *[innocent(n) for n in range(12)])
-    assert not record.ledger.condemned()
+    assert not record.ledger.blocked()
 
 
 def test_popular_request_is_cleared_by_successful_runs(
@@ -162,7 +162,7 @@
         crashes = other.ledger.differing(one.ledger.digests(), rng)
         one.merge(other.ledger.export(crashes, NOW_MS), NOW_MS)
     assert len({one.ledger.digest() for one in records}) == 1
-    blocked_sets = [set(one.ledger.condemned()) for one in records]
+    blocked_sets = [set(one.ledger.blocked()) for one in records]
     assert blocked_sets[0] == blocked_sets[1] == blocked_sets[2]
 
 
