--- a/src/marlramp/core/crash_ledger.py
+++ b/src/marlramp/core/crash_ledger.py
@@ -157,7 +157,9 @@
         suspect = Suspect(fingerprint, begun)
         self._merge(Crash(crash, 0.0, [suspect]), now_ms)
 
-    def blames(self, crash: ids.CrashId, fingerprint: ids.Fingerprint) -> bool:
+    def is_suspect(
+        self, crash: ids.CrashId, fingerprint: ids.Fingerprint
+    ) -> bool:
         """Returns whether a request is an uncleared suspect of a crash."""
         return crash in self._crashes_of.get(fingerprint, ())
 
@@ -173,7 +175,9 @@
         cleared = msgspec.structs.replace(known, cleared=True)
         self._put_suspect(crash, known_crash, cleared)
 
-    def clear_one(self, fingerprint: ids.Fingerprint) -> ids.CrashId | None:
+    def clear_earliest(
+        self, fingerprint: ids.Fingerprint
+    ) -> ids.CrashId | None:
         """Clears a request of its earliest crash after a successful run.
 
         Returns:
--- a/src/marlramp/core/crash_record.py
+++ b/src/marlramp/core/crash_record.py
@@ -77,7 +77,7 @@
         self, fingerprint: ids.Fingerprint, now_ms: clock.Millis
     ) -> None:
         """Records a run that ended without a crash."""
-        crash = self.ledger.clear_one(fingerprint)
+        crash = self.ledger.clear_earliest(fingerprint)
         if crash is None:
             self._successes.record(fingerprint, now_ms)
         else:
@@ -104,7 +104,7 @@
             is_new = True
             self._changed.add(crash.crash_id)
             for suspect in crash.suspects:
-                is_suspect = self.ledger.blames(
+                is_suspect = self.ledger.is_suspect(
                     crash.crash_id, suspect.fingerprint
                 )
                 if is_suspect and self._successes.try_spend(
