--- a/src/marlramp/core/crash_record.py
+++ b/src/marlramp/core/crash_record.py
@@ -49,7 +49,7 @@
         self._changed: set[ids.CrashId] = set()
         self._reported_blocked: set[ids.Fingerprint] = set()
 
-    def note_crash(
+    def add_suspect(
         self,
         crash: ids.CrashId,
         fingerprint: ids.Fingerprint,
--- a/src/marlramp/direct/calls/crash_watch.py
+++ b/src/marlramp/direct/calls/crash_watch.py
@@ -172,7 +172,7 @@
 
     def _note_crash(self, lost: LostAttempt) -> None:
         self._totals.add(counters.CounterName.CRASHES, "suspect")
-        self._record.note_crash(
+        self._record.add_suspect(
             lost.crash_id,
             lost.fingerprint,
             begun=lost.begun,
--- a/tests/core/test_crash_ledger.py
+++ b/tests/core/test_crash_ledger.py
@@ -41,7 +41,7 @@
     now_ms: float = NOW_MS,
 ) -> None:
     for request in requests:
-        record.note_crash(
+        record.add_suspect(
             crash(number), request, begun=begun, now_ms=clock.Millis(now_ms)
         )
 
@@ -132,7 +132,7 @@
     record: crash_record.CrashRecord,
 ) -> None:
     for born_ms in (1, 2):
-        record.note_crash(
+        record.add_suspect(
             crash_ledger.crash_id("i-0", born_ms),
             CULPRIT,
             begun=False,
--- a/tests/direct/calls/test_crashing_requests.py
+++ b/tests/direct/calls/test_crashing_requests.py
@@ -23,7 +23,7 @@
 
 def note_crashes(entry: conftest.Entry, path: str, count: int) -> None:
     for number in range(count):
-        entry.crashes.note_crash(
+        entry.crashes.add_suspect(
             crash_ledger.crash_id(f"x-{number}", 1),
             fingerprint(path),
             begun=False,
--- a/tests/direct/fleet/test_crash_sharing.py
+++ b/tests/direct/fleet/test_crash_sharing.py
@@ -53,7 +53,7 @@
 ) -> crash_ledger.Crash:
     """Has one entry notice a crash under the culprit."""
     crash_id = crash_ledger.crash_id(f"i-{number}", 1)
-    fleet.entries[name].crashes.note_crash(
+    fleet.entries[name].crashes.add_suspect(
         crash_id, CULPRIT, begun=False, now_ms=fleet.time.now_ms()
     )
     return crash_ledger.Crash(
--- a/tests/direct/fleet/test_crash_sync.py
+++ b/tests/direct/fleet/test_crash_sync.py
@@ -25,7 +25,7 @@
     crash_id = crash_ledger.crash_id(f"i-{number}", 1)
     others = [ids.Fingerprint(f"{number}-{n}") for n in range(OTHERS)]
     for request in (CULPRIT, *others):
-        fleet.entries[name].crashes.note_crash(
+        fleet.entries[name].crashes.add_suspect(
             crash_id, request, begun=False, now_ms=fleet.time.now_ms()
         )
 
@@ -158,7 +158,7 @@
         crash(fleet, f"entry-{number}", number)
     for number in range(3, 300):
         crash_id = crash_ledger.crash_id(f"x-{number}", 1)
-        fleet.entries["entry-0"].crashes.note_crash(
+        fleet.entries["entry-0"].crashes.add_suspect(
             crash_id,
             ids.Fingerprint(f"x-{number}"),
             begun=False,
