--- a/src/marlramp/core/crash_record.py
+++ b/src/marlramp/core/crash_record.py
@@ -73,7 +73,7 @@
         self.ledger.add_suspect(crash, fingerprint, begun=begun, now_ms=now_ms)
         self._changed.add(crash)
 
-    def note_good(
+    def record_success(
         self, fingerprint: ids.Fingerprint, now_ms: clock.Millis
     ) -> None:
         """Records a run that ended without a crash."""
--- a/src/marlramp/direct/calls/crash_watch.py
+++ b/src/marlramp/direct/calls/crash_watch.py
@@ -108,7 +108,7 @@
 
     def note_good(self, fingerprint: ids.Fingerprint) -> None:
         """Takes a run that ended without a crash."""
-        self._record.note_good(fingerprint, self._clock.now_ms())
+        self._record.record_success(fingerprint, self._clock.now_ms())
 
     async def note_lost(
         self,
--- a/tests/core/test_crash_ledger.py
+++ b/tests/core/test_crash_ledger.py
@@ -95,12 +95,12 @@
     record: crash_record.CrashRecord,
 ) -> None:
     for number in range(20):
-        record.note_good(CULPRIT, NOW_MS)
+        record.record_success(CULPRIT, NOW_MS)
         add_suspects(record, number, CULPRIT)
     assert record.ledger.strikes(CULPRIT) == 0.0
     add_suspects(record, 20, CULPRIT)
     add_suspects(record, 21, CULPRIT)
-    record.note_good(CULPRIT, NOW_MS)
+    record.record_success(CULPRIT, NOW_MS)
     assert record.ledger.strikes(CULPRIT) == 1.0
 
 
@@ -109,7 +109,7 @@
 ) -> None:
     number = 0
     for _ in range(3):
-        record.note_good(CULPRIT, NOW_MS)
+        record.record_success(CULPRIT, NOW_MS)
         add_suspects(record, number, CULPRIT)
         add_suspects(record, number + 1, CULPRIT)
         number += 2
@@ -149,7 +149,7 @@
     for number, one in itertools.product(range(6), records):
         add_suspects(one, number, CULPRIT, innocent(rng.randrange(4)))
         if rng.random() < 0.3:
-            one.note_good(innocent(rng.randrange(4)), NOW_MS)
+            one.record_success(innocent(rng.randrange(4)), NOW_MS)
         sent += one.ledger.export(one.take_untold(), NOW_MS)
     for one in records:
         for update in rng.choices(sent, k=40):
