--- a/src/marlramp/core/crash_record.py
+++ b/src/marlramp/core/crash_record.py
@@ -113,7 +113,7 @@
                     self.ledger.clear(crash.crash_id, suspect.fingerprint)
         return is_new
 
-    def is_condemned(self, fingerprint: ids.Fingerprint) -> bool:
+    def is_blocked(self, fingerprint: ids.Fingerprint) -> bool:
         """Returns whether a request is blocked."""
         return fingerprint in self.ledger.blocked()
 
--- a/src/marlramp/direct/calls/crash_watch.py
+++ b/src/marlramp/direct/calls/crash_watch.py
@@ -94,7 +94,7 @@
 
     def is_condemned(self, fingerprint: ids.Fingerprint) -> bool:
         """Returns whether a request is not to be run again."""
-        return self._record.is_condemned(fingerprint)
+        return self._record.is_blocked(fingerprint)
 
     def runs_alone(self, fingerprint: ids.Fingerprint) -> bool:
         """Returns whether a request goes where the fewest others run."""
--- a/tests/core/test_crash_ledger.py
+++ b/tests/core/test_crash_ledger.py
@@ -51,7 +51,7 @@
     record: crash_record.CrashRecord, others: int
 ) -> None:
     for number in range(3):
-        assert not record.is_condemned(CULPRIT)
+        assert not record.is_blocked(CULPRIT)
         chance = [innocent(100 * number + n) for n in range(others)]
         add_suspects(record, number, CULPRIT, *chance)
     condemned = record.ledger.blocked()
@@ -65,9 +65,9 @@
 ) -> None:
     for number in range(5):
         add_suspects(record, number, CULPRIT, begun=True)
-        assert not record.is_condemned(CULPRIT)
+        assert not record.is_blocked(CULPRIT)
     add_suspects(record, 5, CULPRIT, begun=True)
-    assert record.is_condemned(CULPRIT)
+    assert record.is_blocked(CULPRIT)
 
 
 def test_request_that_followed_the_culprit_is_not_condemned(
@@ -113,7 +113,7 @@
         add_suspects(record, number, CULPRIT)
         add_suspects(record, number + 1, CULPRIT)
         number += 2
-    assert record.is_condemned(CULPRIT)
+    assert record.is_blocked(CULPRIT)
 
 
 def test_one_crash_reported_by_several_entries_is_one_strike(
@@ -174,7 +174,7 @@
     add_suspects(record, 3, innocent(1))
     later_ms = NOW_MS + crash_ledger.CRASH_AGE_MAX_MS + 1.0
     record.tick(clock.Millis(later_ms))
-    assert record.is_condemned(CULPRIT)
+    assert record.is_blocked(CULPRIT)
     assert record.ledger.strikes(innocent(1)) == 0.0
 
 
@@ -190,7 +190,7 @@
         [crash(n) for n in range(crash_ledger.CRASHES_MAX + 50)], NOW_MS
     )
     assert len(known) == crash_ledger.CRASHES_MAX
-    assert record.is_condemned(CULPRIT)
+    assert record.is_blocked(CULPRIT)
 
 
 def test_operator_releases_a_request_everywhere(
@@ -201,10 +201,10 @@
     other = crash_record.CrashRecord()
     crashes = [crash(n) for n in range(3)]
     other.merge(record.ledger.export(crashes, NOW_MS), NOW_MS)
-    assert other.is_condemned(CULPRIT)
+    assert other.is_blocked(CULPRIT)
     assert record.clear(CULPRIT) == 3
     other.merge(record.ledger.export(crashes, NOW_MS), NOW_MS)
-    assert not other.is_condemned(CULPRIT)
+    assert not other.is_blocked(CULPRIT)
 
 
 def test_block_changes_are_returned_once(
--- a/tests/direct/fleet/test_crash_sharing.py
+++ b/tests/direct/fleet/test_crash_sharing.py
@@ -74,7 +74,7 @@
     return [
         entry.name
         for entry in fleet.running()
-        if not entry.crashes.is_condemned(CULPRIT)
+        if not entry.crashes.is_blocked(CULPRIT)
     ]
 
 
--- a/tests/direct/fleet/test_crash_sync.py
+++ b/tests/direct/fleet/test_crash_sync.py
@@ -35,7 +35,7 @@
     return [
         entry.name
         for entry in fleet.running()
-        if not entry.crashes.is_condemned(CULPRIT)
+        if not entry.crashes.is_blocked(CULPRIT)
     ]
 
 
