--- a/src/marlramp/core/crash_record.py
+++ b/src/marlramp/core/crash_record.py
@@ -129,7 +129,7 @@
         """Drops old crashes."""
         self.ledger.tick(now_ms)
 
-    def take_untold(self) -> set[ids.CrashId]:
+    def pop_changed(self) -> set[ids.CrashId]:
         """Returns the crashes that changed since the previous call."""
         changed, self._changed = self._changed, set()
         return changed
--- a/src/marlramp/direct/fleet/crash_sync.py
+++ b/src/marlramp/direct/fleet/crash_sync.py
@@ -168,7 +168,7 @@
 
     def _queue_untold(self, now_ms: clock.Millis) -> set[ids.CrashId]:
         """Queues what changed to be passed on; returns it."""
-        untold = self._record.take_untold()
+        untold = self._record.pop_changed()
         for crash in untold:
             self._rumours.add(crash, crash, now_ms)
         return untold
--- a/tests/core/test_crash_ledger.py
+++ b/tests/core/test_crash_ledger.py
@@ -150,7 +150,7 @@
         add_suspects(one, number, CULPRIT, innocent(rng.randrange(4)))
         if rng.random() < 0.3:
             one.record_success(innocent(rng.randrange(4)), NOW_MS)
-        sent += one.ledger.export(one.take_untold(), NOW_MS)
+        sent += one.ledger.export(one.pop_changed(), NOW_MS)
     for one in records:
         for update in rng.choices(sent, k=40):
             one.merge([update], NOW_MS)
