--- a/src/marlramp/core/crash_record.py
+++ b/src/marlramp/core/crash_record.py
@@ -27,7 +27,7 @@
 """Strikes from which a request is not sent to a second replica."""
 
 
-class Verdicts(msgspec.Struct, frozen=True):
+class BlockChanges(msgspec.Struct, frozen=True):
     """Changes to the set of blocked requests.
 
     Attributes:
@@ -35,7 +35,7 @@
       released: requests that are no longer blocked.
     """
 
-    condemned: dict[ids.Fingerprint, crash_ledger.Evidence]
+    blocked: dict[ids.Fingerprint, crash_ledger.Evidence]
     released: list[ids.Fingerprint]
 
 
@@ -134,7 +134,7 @@
         changed, self._changed = self._changed, set()
         return changed
 
-    def take_verdicts(self) -> Verdicts:
+    def pop_block_changes(self) -> BlockChanges:
         """Returns how the blocked requests changed since the previous call."""
         now = self.ledger.blocked()
         fresh = {
@@ -144,4 +144,4 @@
         }
         released = sorted(self._reported_blocked - now.keys())
         self._reported_blocked = set(now)
-        return Verdicts(fresh, released)
+        return BlockChanges(fresh, released)
--- a/src/marlramp/direct/fleet/crash_sync.py
+++ b/src/marlramp/direct/fleet/crash_sync.py
@@ -177,8 +177,8 @@
         return self._rng.sample(vm_ids, min(count, len(vm_ids)))
 
     def _log_verdicts(self) -> None:
-        verdicts = self._record.take_verdicts()
-        for fingerprint, evidence in verdicts.condemned.items():
+        verdicts = self._record.pop_block_changes()
+        for fingerprint, evidence in verdicts.blocked.items():
             self._totals.add(counters.CounterName.CRASHES, "condemned")
             logs.log(
                 "request_condemned",
--- a/tests/core/test_crash_ledger.py
+++ b/tests/core/test_crash_ledger.py
@@ -212,10 +212,10 @@
 ) -> None:
     for number in range(3):
         add_suspects(record, number, CULPRIT)
-    assert set(record.take_verdicts().condemned) == {CULPRIT}
-    assert not record.take_verdicts().condemned
+    assert set(record.pop_block_changes().blocked) == {CULPRIT}
+    assert not record.pop_block_changes().blocked
     record.clear(CULPRIT)
-    assert record.take_verdicts().released == [CULPRIT]
+    assert record.pop_block_changes().released == [CULPRIT]
 
 
 @pytest.mark.parametrize("seed", range(10))
