--- a/models/swap_permits.py
+++ b/models/swap_permits.py
@@ -437,14 +437,14 @@
         return state
 
 
-def _standing(state: State) -> swap.Standing:
+def _standing(state: State) -> swap.AttemptState:
     if state.refused:
-        return swap.Standing.REFUSED
+        return swap.AttemptState.REFUSED
     if not _usable(state, Rules()):
-        return swap.Standing.OVER
+        return swap.AttemptState.OVER
     if state.granted:
-        return swap.Standing.PERMITTED
-    return swap.Standing.WAITING
+        return swap.AttemptState.PERMITTED
+    return swap.AttemptState.WAITING
 
 
 def _replay() -> int:
--- a/src/marlramp/agent/rollout.py
+++ b/src/marlramp/agent/rollout.py
@@ -35,7 +35,7 @@
         """Sends a request to every entry heard from."""
         ...
 
-    def standing(self) -> swap.Standing:
+    def standing(self) -> swap.AttemptState:
         """Returns whether every entry heard from permits the swap now."""
         ...
 
@@ -312,9 +312,9 @@
 
     async def _permitted(self) -> bool:
         """Waits for all permits, for as long as they could be used."""
-        while self._permits.standing() is swap.Standing.WAITING:
+        while self._permits.standing() is swap.AttemptState.WAITING:
             await asyncio.sleep(PERMIT_LOOK_MS / clock.MILLIS_PER_SECOND)
-        return self._permits.standing() is swap.Standing.PERMITTED
+        return self._permits.standing() is swap.AttemptState.PERMITTED
 
     async def _swap_closed(
         self, target: guard.Target, *, needs_permits: bool = False
@@ -336,7 +336,7 @@
             self._on_change()
 
     def _still_permitted(self) -> bool:
-        return self._permits.standing() is swap.Standing.PERMITTED
+        return self._permits.standing() is swap.AttemptState.PERMITTED
 
     async def _order(
         self,
--- a/src/marlramp/agent/swap_permits.py
+++ b/src/marlramp/agent/swap_permits.py
@@ -42,12 +42,12 @@
         self._round.begin(self._clock.now_ms())
         self._ask_all()
 
-    def standing(self) -> swap.Standing:
+    def standing(self) -> swap.AttemptState:
         """Returns how the round stands; asks entries without an answer."""
         found = self._round.standing(
             self._entries.heard(), self._clock.now_ms()
         )
-        if found is swap.Standing.WAITING:
+        if found is swap.AttemptState.WAITING:
             self._ask_all()
         return found
 
--- a/src/marlramp/core/swap.py
+++ b/src/marlramp/core/swap.py
@@ -48,7 +48,7 @@
 refusing each other for ever."""
 
 
-class Standing(enum.Enum):
+class AttemptState(enum.Enum):
     """State of an agent's attempt to collect permits."""
 
     WAITING = "waiting"
@@ -296,7 +296,7 @@
 
     def standing(
         self, entry_ids: list[ids.VmId], now_ms: clock.Millis
-    ) -> Standing:
+    ) -> AttemptState:
         """Returns the state of the attempt.
 
         Args:
@@ -305,12 +305,12 @@
           now_ms: time on the agent's clock.
         """
         if self._refused:
-            return Standing.REFUSED
+            return AttemptState.REFUSED
         if not self._open or self._is_over(now_ms):
-            return Standing.OVER
+            return AttemptState.OVER
         if entry_ids and self._usable_until_ms.keys() >= set(entry_ids):
-            return Standing.PERMITTED
-        return Standing.WAITING
+            return AttemptState.PERMITTED
+        return AttemptState.WAITING
 
     def end(self) -> None:
         """Ends the attempt; its permits have been used or are given back."""
--- a/tests/core/test_swap.py
+++ b/tests/core/test_swap.py
@@ -64,10 +64,10 @@
     # The agent must give each permit back: the withdrawal may be lost.
     assert answer_all(permits, first, time.now_ms()) == [True, True]
     waits = permits.standing(ENTRIES, time.now_ms())
-    assert waits is swap.Standing.WAITING
+    assert waits is swap.AttemptState.WAITING
     assert answer_all(permits, permits.number, time.now_ms()) == [False] * 2
     found = permits.standing(ENTRIES, time.now_ms())
-    assert found is swap.Standing.PERMITTED
+    assert found is swap.AttemptState.PERMITTED
 
 
 def test_permit_validity_counts_from_the_request(
@@ -79,9 +79,9 @@
     time.advance(usable_ms - 100.0)
     answer_all(permits, permits.number, time.now_ms())
     found = permits.standing(ENTRIES, time.now_ms())
-    assert found is swap.Standing.PERMITTED
+    assert found is swap.AttemptState.PERMITTED
     time.advance(200.0)
-    assert permits.standing(ENTRIES, time.now_ms()) is swap.Standing.OVER
+    assert permits.standing(ENTRIES, time.now_ms()) is swap.AttemptState.OVER
 
 
 def test_agent_never_uses_a_permit_that_expired_at_its_entry(
@@ -93,7 +93,9 @@
     permits.begin(time.now_ms())
     assert ask(desk, A, time.now_ms())
     answer_all(permits, permits.number, time.now_ms())
-    while permits.standing(ENTRIES, time.now_ms()) is swap.Standing.PERMITTED:
+    while (
+        permits.standing(ENTRIES, time.now_ms()) is swap.AttemptState.PERMITTED
+    ):
         assert not ask(desk, B, time.now_ms())
         time.advance(10.0)
     assert not ask(desk, B, time.now_ms())
@@ -115,9 +117,9 @@
             for entry_id in ENTRIES:
                 permits.answered(entry_id, number, True, hold_ms, now_ms)
         found = permits.standing(ENTRIES, now_ms)
-        if found is swap.Standing.PERMITTED:
+        if found is swap.AttemptState.PERMITTED:
             return
-        if found is swap.Standing.OVER:
+        if found is swap.AttemptState.OVER:
             permits.end()
             permits.begin(now_ms)
         if permits.to_ask(ENTRIES, now_ms):
@@ -184,6 +186,6 @@
     number = permits.number
     permits.answered(ENTRIES[0], number, True, 3_000.0, time.now_ms())
     waits = permits.standing(ENTRIES, time.now_ms())
-    assert waits is swap.Standing.WAITING
+    assert waits is swap.AttemptState.WAITING
     found = permits.standing(ENTRIES[:1], time.now_ms())
-    assert found is swap.Standing.PERMITTED
+    assert found is swap.AttemptState.PERMITTED
