--- a/models/swap_permits.py
+++ b/models/swap_permits.py
@@ -413,7 +413,7 @@
             swap.Replica(_RIVAL, not state.rival_out),
             swap.Replica(ids.VmId("third"), True),
         ]
-        question = swap.Question(
+        question = swap.PermitRequest(
             vm_id,
             ids.ServiceId("pool"),
             ids.Incarnation(1),
--- a/src/marlramp/core/swap.py
+++ b/src/marlramp/core/swap.py
@@ -69,7 +69,7 @@
     ready: bool
 
 
-class Question(msgspec.Struct, frozen=True):
+class PermitRequest(msgspec.Struct, frozen=True):
     """An agent's request for a permit.
 
     Attributes:
@@ -90,7 +90,7 @@
 class _Permit(msgspec.Struct, frozen=True):
     """A permit and when it expires."""
 
-    question: Question
+    question: PermitRequest
     expires_ms: float
 
 
@@ -108,7 +108,7 @@
 
     def ask(
         self,
-        question: Question,
+        question: PermitRequest,
         replicas: list[Replica],
         out_fraction: float,
         *,
@@ -164,7 +164,9 @@
         """Revokes a permit when the agent serves again or has ended."""
         self._permits.pop(vm_id, None)
 
-    def _unlinked_count(self, question: Question, others: list[Replica]) -> int:
+    def _unlinked_count(
+        self, question: PermitRequest, others: list[Replica]
+    ) -> int:
         """Returns how many permits are held by replicas whose link is lost.
 
         Such a replica may still run and use its permit, so the permit counts
--- a/src/marlramp/entry/daemon.py
+++ b/src/marlramp/entry/daemon.py
@@ -373,7 +373,7 @@
         service_id = ids.ServiceId(info.report.service_id)
         values = self._store.tree.effective(service_id)
         now_ms = self._clock.now_ms()
-        question = swap.Question(
+        question = swap.PermitRequest(
             vm_id,
             service_id,
             ids.Incarnation(link_id.incarnation),
--- a/tests/agent/replicas.py
+++ b/tests/agent/replicas.py
@@ -138,7 +138,7 @@
             self.lost -= 1
             return
         granted = self.desk.ask(
-            swap.Question(
+            swap.PermitRequest(
                 replica.vm_id,
                 SERVICE,
                 INCARNATION,
--- a/tests/core/test_swap.py
+++ b/tests/core/test_swap.py
@@ -19,7 +19,7 @@
     number: int = 1,
     replicas: list[swap.Replica] = REPLICAS,
 ) -> bool:
-    question = swap.Question(
+    question = swap.PermitRequest(
         vm_id, ids.ServiceId("pool"), START, number, swap.HOLD_MIN_MS
     )
     return desk.ask(question, replicas, 0.34, allow_sole=False, now_ms=now_ms)
