--- a/models/swap_permits.py
+++ b/models/swap_permits.py
@@ -356,7 +356,7 @@
 
     def __init__(self) -> None:
         self.time = clock.ManualClock()
-        self.desk = swap.PermitDesk(clock.Millis(float("-inf")))
+        self.desk = swap.PermitIssuer(clock.Millis(float("-inf")))
         self.round = swap.PermitRound(hold_max_ms=swap.HOLD_MIN_MS)
         self.state = State()
         self.actions = {a.name: a for a in build(Rules()).actions}
@@ -373,7 +373,7 @@
         elif action == "tick":
             self.time.advance(_TICK_MS)
         elif action == "restart":
-            self.desk = swap.PermitDesk(now_ms)
+            self.desk = swap.PermitIssuer(now_ms)
         elif action == "entry_takes":
             self._entry_takes(before)
         elif action == "agent_takes":
--- a/src/marlramp/core/swap.py
+++ b/src/marlramp/core/swap.py
@@ -94,7 +94,7 @@
     expires_ms: float
 
 
-class PermitDesk:
+class PermitIssuer:
     """Issues the permits of one entry."""
 
     def __init__(self, started_ms: clock.Millis) -> None:
--- a/src/marlramp/entry/daemon.py
+++ b/src/marlramp/entry/daemon.py
@@ -93,7 +93,7 @@
             process.document_keys(settings.identity)
         )
         self._table = agent_table.AgentTable(self._settings_of)
-        self._desk = swap.PermitDesk(self._clock.now_ms())
+        self._desk = swap.PermitIssuer(self._clock.now_ms())
         self._revisions: dict[ids.VmId, list[int]] = {}
         self._heartbeats: dict[ids.VmId, _SentHeartbeat] = {}
         self._build_shell()
--- a/tests/agent/replicas.py
+++ b/tests/agent/replicas.py
@@ -113,7 +113,7 @@
 
     def __init__(self, name: str, fleet: Fleet) -> None:
         self.name = ids.VmId(name)
-        self.desk = swap.PermitDesk(clock.Millis(float("-inf")))
+        self.desk = swap.PermitIssuer(clock.Millis(float("-inf")))
         self.ask_ms: dict[ids.VmId, float] = {}
         self.answer_ms = 0.0
         self.lost = 0
--- a/tests/core/test_swap.py
+++ b/tests/core/test_swap.py
@@ -13,7 +13,7 @@
 
 
 def ask(
-    desk: swap.PermitDesk,
+    desk: swap.PermitIssuer,
     vm_id: ids.VmId,
     now_ms: clock.Millis,
     number: int = 1,
@@ -38,7 +38,7 @@
 def test_agents_that_hold_each_others_permits_do_not_deadlock(
     time: clock.ManualClock,
 ) -> None:
-    desks = [swap.PermitDesk(LONG_AGO), swap.PermitDesk(LONG_AGO)]
+    desks = [swap.PermitIssuer(LONG_AGO), swap.PermitIssuer(LONG_AGO)]
     for number in range(20):
         # Each agent is the first at one entry, in every attempt.
         assert ask(desks[0], A, time.now_ms(), number)
@@ -88,7 +88,7 @@
     time: clock.ManualClock,
 ) -> None:
     # The agent's expiry is the earlier one, even without network delay.
-    desk = swap.PermitDesk(LONG_AGO)
+    desk = swap.PermitIssuer(LONG_AGO)
     permits = swap.PermitRound()
     permits.begin(time.now_ms())
     assert ask(desk, A, time.now_ms())
@@ -132,7 +132,7 @@
 def test_late_withdrawal_does_not_release_a_newer_permit(
     time: clock.ManualClock,
 ) -> None:
-    desk = swap.PermitDesk(LONG_AGO)
+    desk = swap.PermitIssuer(LONG_AGO)
     assert ask(desk, A, time.now_ms(), number=2)
     desk.release(A, START, 1)
     desk.release(A, ids.Incarnation(7), 9)
@@ -145,7 +145,7 @@
     time: clock.ManualClock,
 ) -> None:
     # The previous process may just have permitted another replica to stop.
-    desk = swap.PermitDesk(time.now_ms())
+    desk = swap.PermitIssuer(time.now_ms())
     time.advance(swap.HOLD_MIN_MS - 1.0)
     assert not ask(desk, A, time.now_ms())
     time.advance(1.0)
@@ -156,7 +156,7 @@
     time: clock.ManualClock,
 ) -> None:
     # The replica may be paused, and swap once it resumes.
-    desk = swap.PermitDesk(LONG_AGO)
+    desk = swap.PermitIssuer(LONG_AGO)
     assert ask(desk, A, time.now_ms())
     assert not ask(desk, B, time.now_ms(), replicas=REPLICAS[1:])
     time.advance(swap.HOLD_MIN_MS)
