--- a/models/swap_permits.py
+++ b/models/swap_permits.py
@@ -420,7 +420,7 @@
             number,
             swap.HOLD_MIN_MS,
         )
-        return self.desk.ask(
+        return self.desk.try_issue(
             question,
             replicas,
             _OUT_FRACTION,
--- a/src/marlramp/core/swap.py
+++ b/src/marlramp/core/swap.py
@@ -90,7 +90,7 @@
 class _Permit(msgspec.Struct, frozen=True):
     """A permit and when it expires."""
 
-    question: PermitRequest
+    request: PermitRequest
     expires_ms: float
 
 
@@ -106,9 +106,9 @@
         self._permits: dict[ids.VmId, _Permit] = {}
         self._refuse_until_ms = started_ms + HOLD_MIN_MS
 
-    def ask(
+    def try_issue(
         self,
-        question: PermitRequest,
+        request: PermitRequest,
         replicas: list[Replica],
         out_fraction: float,
         *,
@@ -118,7 +118,7 @@
         """Issues a permit if the agent may stop serving.
 
         Args:
-          question: the agent's request.
+          request: the agent's request.
           replicas: all replicas of the agent's service.
           out_fraction: fraction of the replicas that may be out of service at
             once.
@@ -131,20 +131,20 @@
         self._expire(now_ms)
         if now_ms < self._refuse_until_ms:
             return False
-        vm_id = question.vm_id
+        vm_id = request.vm_id
         others = [r for r in replicas if r.vm_id != vm_id]
         staying = [
             r for r in others if r.ready and r.vm_id not in self._permits
         ]
-        unlinked = self._unlinked_count(question, others)
+        unlinked = self._unlinked_count(request, others)
         if not staying:
             return allow_sole and not others and not unlinked
         out_max = max(1, int(out_fraction * len(replicas)))
         out = len(others) - len(staying) + unlinked
         if vm_id not in self._permits and out >= out_max:
             return False
-        hold_ms = min(question.hold_ms, HOLD_MAX_MS)
-        self._permits[vm_id] = _Permit(question, now_ms + hold_ms)
+        hold_ms = min(request.hold_ms, HOLD_MAX_MS)
+        self._permits[vm_id] = _Permit(request, now_ms + hold_ms)
         return True
 
     def release(
@@ -155,9 +155,9 @@
         A permit of a later attempt, or of another incarnation, remains.
         """
         permit = self._permits.get(vm_id)
-        if permit is None or permit.question.incarnation != incarnation:
+        if permit is None or permit.request.incarnation != incarnation:
             return
-        if permit.question.number <= number:
+        if permit.request.number <= number:
             del self._permits[vm_id]
 
     def drop(self, vm_id: ids.VmId) -> None:
@@ -165,17 +165,17 @@
         self._permits.pop(vm_id, None)
 
     def _unlinked_count(
-        self, question: PermitRequest, others: list[Replica]
+        self, request: PermitRequest, others: list[Replica]
     ) -> int:
         """Returns how many permits are held by replicas whose link is lost.
 
         Such a replica may still run and use its permit, so the permit counts
         until it expires.
         """
-        seen = {question.vm_id, *(r.vm_id for r in others)}
+        seen = {request.vm_id, *(r.vm_id for r in others)}
         return sum(
             vm_id not in seen
-            and permit.question.service_id == question.service_id
+            and permit.request.service_id == request.service_id
             for vm_id, permit in self._permits.items()
         )
 
--- a/src/marlramp/entry/daemon.py
+++ b/src/marlramp/entry/daemon.py
@@ -380,7 +380,7 @@
             message.round_number,
             message.hold_ms,
         )
-        granted = self._desk.ask(
+        granted = self._desk.try_issue(
             question,
             self._table.replicas(service_id, now_ms),
             values.swap_out_fraction,
--- a/tests/agent/replicas.py
+++ b/tests/agent/replicas.py
@@ -137,7 +137,7 @@
         if self.lost:
             self.lost -= 1
             return
-        granted = self.desk.ask(
+        granted = self.desk.try_issue(
             swap.PermitRequest(
                 replica.vm_id,
                 SERVICE,
--- a/tests/core/test_swap.py
+++ b/tests/core/test_swap.py
@@ -22,7 +22,9 @@
     question = swap.PermitRequest(
         vm_id, ids.ServiceId("pool"), START, number, swap.HOLD_MIN_MS
     )
-    return desk.ask(question, replicas, 0.34, allow_sole=False, now_ms=now_ms)
+    return desk.try_issue(
+        question, replicas, 0.34, allow_sole=False, now_ms=now_ms
+    )
 
 
 def answer_all(
