--- a/models/swap_permits.py
+++ b/models/swap_permits.py
@@ -357,7 +357,7 @@
     def __init__(self) -> None:
         self.time = clock.ManualClock()
         self.desk = swap.PermitIssuer(clock.Millis(float("-inf")))
-        self.round = swap.PermitRound(hold_max_ms=swap.HOLD_MIN_MS)
+        self.round = swap.PermitCollector(hold_max_ms=swap.HOLD_MIN_MS)
         self.state = State()
         self.actions = {a.name: a for a in build(Rules()).actions}
 
--- a/src/marlramp/agent/swap_permits.py
+++ b/src/marlramp/agent/swap_permits.py
@@ -33,7 +33,7 @@
         """Sends nothing before `ask`."""
         self._entries = entries
         self._clock = time
-        self._round = swap.PermitRound()
+        self._round = swap.PermitCollector()
         self._version = ids.VersionId("")
 
     def ask(self, version: ids.VersionId) -> None:
--- a/src/marlramp/core/swap.py
+++ b/src/marlramp/core/swap.py
@@ -185,7 +185,7 @@
                 del self._permits[vm_id]
 
 
-class PermitRound:
+class PermitCollector:
     """Collects a permit from each entry, for one agent.
 
     An attempt begins with `begin` and is over when `end` is called, or when a
--- a/tests/core/test_swap.py
+++ b/tests/core/test_swap.py
@@ -28,7 +28,7 @@
 
 
 def answer_all(
-    permits: swap.PermitRound, number: int, now_ms: clock.Millis
+    permits: swap.PermitCollector, number: int, now_ms: clock.Millis
 ) -> list[bool]:
     hold_ms = permits.hold_ms
     return [
@@ -57,7 +57,7 @@
 def test_answer_of_an_earlier_attempt_permits_nothing(
     time: clock.ManualClock,
 ) -> None:
-    permits = swap.PermitRound()
+    permits = swap.PermitCollector()
     permits.begin(time.now_ms())
     first = permits.number
     permits.answered(ENTRIES[0], first, True, 3_000.0, time.now_ms())
@@ -75,7 +75,7 @@
 def test_permit_validity_counts_from_the_request(
     time: clock.ManualClock,
 ) -> None:
-    permits = swap.PermitRound()
+    permits = swap.PermitCollector()
     permits.begin(time.now_ms())
     usable_ms = swap.USABLE_FRACTION * swap.HOLD_MIN_MS
     time.advance(usable_ms - 100.0)
@@ -91,7 +91,7 @@
 ) -> None:
     # The agent's expiry is the earlier one, even without network delay.
     desk = swap.PermitIssuer(LONG_AGO)
-    permits = swap.PermitRound()
+    permits = swap.PermitCollector()
     permits.begin(time.now_ms())
     assert ask(desk, A, time.now_ms())
     answer_all(permits, permits.number, time.now_ms())
@@ -109,7 +109,7 @@
     # Guards against a fixed validity of permits: every attempt then expires
     # before its answers arrive.
 
-    permits = swap.PermitRound()
+    permits = swap.PermitCollector()
     in_flight: list[tuple[float, int, float]] = []
     permits.begin(time.now_ms())
     for _ in range(600):
@@ -168,7 +168,7 @@
 def test_request_to_an_entry_without_an_answer_is_repeated(
     time: clock.ManualClock,
 ) -> None:
-    permits = swap.PermitRound()
+    permits = swap.PermitCollector()
     permits.begin(time.now_ms())
     assert permits.to_ask(ENTRIES[:1], time.now_ms()) == ENTRIES[:1]
     # An entry that is heard first now gets a request in the same attempt.
@@ -183,7 +183,7 @@
 def test_entry_that_left_does_not_block_an_attempt(
     time: clock.ManualClock,
 ) -> None:
-    permits = swap.PermitRound()
+    permits = swap.PermitCollector()
     permits.begin(time.now_ms())
     number = permits.number
     permits.answered(ENTRIES[0], number, True, 3_000.0, time.now_ms())
