--- a/src/marlramp/agent/swap_permits.py
+++ b/src/marlramp/agent/swap_permits.py
@@ -77,7 +77,7 @@
             hold_ms=self._round.hold_ms,
         )
         heard = self._entries.heard()
-        for entry_id in self._round.to_ask(heard, self._clock.now_ms()):
+        for entry_id in self._round.next_requests(heard, self._clock.now_ms()):
             self._entries.send(entry_id, request)
 
     def _give_back(self, entry_id: ids.VmId, number: int) -> None:
--- a/src/marlramp/core/swap.py
+++ b/src/marlramp/core/swap.py
@@ -237,7 +237,7 @@
         self._requested_ms.clear()
         self._usable_until_ms.clear()
 
-    def to_ask(
+    def next_requests(
         self, entry_ids: list[ids.VmId], now_ms: clock.Millis
     ) -> list[ids.VmId]:
         """Returns the entries to send a request to, and records them as sent.
--- a/tests/core/test_swap.py
+++ b/tests/core/test_swap.py
@@ -124,7 +124,7 @@
         if found is swap.AttemptState.OVER:
             permits.end()
             permits.begin(now_ms)
-        if permits.to_ask(ENTRIES, now_ms):
+        if permits.next_requests(ENTRIES, now_ms):
             due_ms = now_ms + 10_000.0
             in_flight.append((due_ms, permits.number, permits.hold_ms))
         time.advance(100.0)
@@ -170,14 +170,14 @@
 ) -> None:
     permits = swap.PermitCollector()
     permits.begin(time.now_ms())
-    assert permits.to_ask(ENTRIES[:1], time.now_ms()) == ENTRIES[:1]
+    assert permits.next_requests(ENTRIES[:1], time.now_ms()) == ENTRIES[:1]
     # An entry that is heard first now gets a request in the same attempt.
 
-    assert permits.to_ask(ENTRIES, time.now_ms()) == ENTRIES[1:]
+    assert permits.next_requests(ENTRIES, time.now_ms()) == ENTRIES[1:]
     number = permits.number
     permits.answered(ENTRIES[1], number, True, 3_000.0, time.now_ms())
     time.advance(swap.REQUEST_RETRY_FRACTION * swap.HOLD_MIN_MS)
-    assert permits.to_ask(ENTRIES, time.now_ms()) == ENTRIES[:1]
+    assert permits.next_requests(ENTRIES, time.now_ms()) == ENTRIES[:1]
 
 
 def test_entry_that_left_does_not_block_an_attempt(
