--- a/src/marlramp/agent/swap_permits.py
+++ b/src/marlramp/agent/swap_permits.py
@@ -54,7 +54,7 @@
     def withdraw(self) -> None:
         """Ends the round and gives back whatever was or will be permitted."""
         self._round.end()
-        for entry_id in self._round.asked:
+        for entry_id in self._round.requested:
             self._give_back(entry_id, self._round.number)
 
     def answered(self, entry_id: ids.VmId, answer: messages.SwapAnswer) -> None:
--- a/src/marlramp/core/swap.py
+++ b/src/marlramp/core/swap.py
@@ -221,7 +221,7 @@
         return self._hold_ms
 
     @property
-    def asked(self) -> list[ids.VmId]:
+    def requested(self) -> list[ids.VmId]:
         """The entries that received a request in the latest attempt."""
         return list(self._requested_ms)
 
