--- a/models/swap_permits.py
+++ b/models/swap_permits.py
@@ -391,7 +391,7 @@
 
     def _agent_takes(self, before: State) -> None:
         answer = before.to_agent[0]
-        returned = self.round.answered(
+        returned = self.round.handle_answer(
             _ENTRY,
             answer.number,
             answer.says,
--- a/src/marlramp/agent/swap_permits.py
+++ b/src/marlramp/agent/swap_permits.py
@@ -60,7 +60,7 @@
     def answered(self, entry_id: ids.VmId, answer: messages.SwapAnswer) -> None:
         """Takes an entry's answer, of this round or an earlier one."""
         number = answer.round_number
-        if self._round.answered(
+        if self._round.handle_answer(
             entry_id,
             number,
             answer.granted,
--- a/src/marlramp/core/swap.py
+++ b/src/marlramp/core/swap.py
@@ -256,7 +256,7 @@
             self._requested_ms[entry_id] = now_ms
         return found
 
-    def answered(
+    def handle_answer(
         self,
         entry_id: ids.VmId,
         number: int,
--- a/tests/core/test_swap.py
+++ b/tests/core/test_swap.py
@@ -32,7 +32,7 @@
 ) -> list[bool]:
     hold_ms = permits.hold_ms
     return [
-        permits.answered(entry_id, number, True, hold_ms, now_ms)
+        permits.handle_answer(entry_id, number, True, hold_ms, now_ms)
         for entry_id in ENTRIES
     ]
 
@@ -60,7 +60,7 @@
     permits = swap.PermitCollector()
     permits.begin(time.now_ms())
     first = permits.number
-    permits.answered(ENTRIES[0], first, True, 3_000.0, time.now_ms())
+    permits.handle_answer(ENTRIES[0], first, True, 3_000.0, time.now_ms())
     permits.end()
     permits.begin(time.now_ms())
     # The agent must give each permit back: the withdrawal may be lost.
@@ -117,7 +117,7 @@
         while in_flight and in_flight[0][0] <= now_ms:
             _, number, hold_ms = in_flight.pop(0)
             for entry_id in ENTRIES:
-                permits.answered(entry_id, number, True, hold_ms, now_ms)
+                permits.handle_answer(entry_id, number, True, hold_ms, now_ms)
         found = permits.standing(ENTRIES, now_ms)
         if found is swap.AttemptState.PERMITTED:
             return
@@ -175,7 +175,7 @@
 
     assert permits.next_requests(ENTRIES, time.now_ms()) == ENTRIES[1:]
     number = permits.number
-    permits.answered(ENTRIES[1], number, True, 3_000.0, time.now_ms())
+    permits.handle_answer(ENTRIES[1], number, True, 3_000.0, time.now_ms())
     time.advance(swap.REQUEST_RETRY_FRACTION * swap.HOLD_MIN_MS)
     assert permits.next_requests(ENTRIES, time.now_ms()) == ENTRIES[:1]
 
@@ -186,7 +186,7 @@
     permits = swap.PermitCollector()
     permits.begin(time.now_ms())
     number = permits.number
-    permits.answered(ENTRIES[0], number, True, 3_000.0, time.now_ms())
+    permits.handle_answer(ENTRIES[0], number, True, 3_000.0, time.now_ms())
     waits = permits.standing(ENTRIES, time.now_ms())
     assert waits is swap.AttemptState.WAITING
     found = permits.standing(ENTRIES[:1], time.now_ms())
