--- a/models/swap_permits.py
+++ b/models/swap_permits.py
@@ -432,7 +432,7 @@
         """Returns the model state, whose round must stand as the real one."""
         state = self.state
         if state.phase is Phase.WAITING:
-            standing = self.round.standing([_ENTRY], self.time.now_ms())
+            standing = self.round.state([_ENTRY], self.time.now_ms())
             assert standing is _standing(state), (state, standing)
         return state
 
--- a/src/marlramp/agent/swap_permits.py
+++ b/src/marlramp/agent/swap_permits.py
@@ -44,9 +44,7 @@
 
     def standing(self) -> swap.AttemptState:
         """Returns how the round stands; asks entries without an answer."""
-        found = self._round.standing(
-            self._entries.heard(), self._clock.now_ms()
-        )
+        found = self._round.state(self._entries.heard(), self._clock.now_ms())
         if found is swap.AttemptState.WAITING:
             self._ask_all()
         return found
--- a/src/marlramp/core/swap.py
+++ b/src/marlramp/core/swap.py
@@ -296,7 +296,7 @@
             self._refused = True
         return False
 
-    def standing(
+    def state(
         self, entry_ids: list[ids.VmId], now_ms: clock.Millis
     ) -> AttemptState:
         """Returns the state of the attempt.
--- a/tests/core/test_swap.py
+++ b/tests/core/test_swap.py
@@ -65,10 +65,10 @@
     permits.begin(time.now_ms())
     # The agent must give each permit back: the withdrawal may be lost.
     assert answer_all(permits, first, time.now_ms()) == [True, True]
-    waits = permits.standing(ENTRIES, time.now_ms())
+    waits = permits.state(ENTRIES, time.now_ms())
     assert waits is swap.AttemptState.WAITING
     assert answer_all(permits, permits.number, time.now_ms()) == [False] * 2
-    found = permits.standing(ENTRIES, time.now_ms())
+    found = permits.state(ENTRIES, time.now_ms())
     assert found is swap.AttemptState.PERMITTED
 
 
@@ -80,10 +80,10 @@
     usable_ms = swap.USABLE_FRACTION * swap.HOLD_MIN_MS
     time.advance(usable_ms - 100.0)
     answer_all(permits, permits.number, time.now_ms())
-    found = permits.standing(ENTRIES, time.now_ms())
+    found = permits.state(ENTRIES, time.now_ms())
     assert found is swap.AttemptState.PERMITTED
     time.advance(200.0)
-    assert permits.standing(ENTRIES, time.now_ms()) is swap.AttemptState.OVER
+    assert permits.state(ENTRIES, time.now_ms()) is swap.AttemptState.OVER
 
 
 def test_agent_never_uses_a_permit_that_expired_at_its_entry(
@@ -95,9 +95,7 @@
     permits.begin(time.now_ms())
     assert ask(desk, A, time.now_ms())
     answer_all(permits, permits.number, time.now_ms())
-    while (
-        permits.standing(ENTRIES, time.now_ms()) is swap.AttemptState.PERMITTED
-    ):
+    while permits.state(ENTRIES, time.now_ms()) is swap.AttemptState.PERMITTED:
         assert not ask(desk, B, time.now_ms())
         time.advance(10.0)
     assert not ask(desk, B, time.now_ms())
@@ -118,7 +116,7 @@
             _, number, hold_ms = in_flight.pop(0)
             for entry_id in ENTRIES:
                 permits.handle_answer(entry_id, number, True, hold_ms, now_ms)
-        found = permits.standing(ENTRIES, now_ms)
+        found = permits.state(ENTRIES, now_ms)
         if found is swap.AttemptState.PERMITTED:
             return
         if found is swap.AttemptState.OVER:
@@ -187,7 +185,7 @@
     permits.begin(time.now_ms())
     number = permits.number
     permits.handle_answer(ENTRIES[0], number, True, 3_000.0, time.now_ms())
-    waits = permits.standing(ENTRIES, time.now_ms())
+    waits = permits.state(ENTRIES, time.now_ms())
     assert waits is swap.AttemptState.WAITING
-    found = permits.standing(ENTRIES[:1], time.now_ms())
+    found = permits.state(ENTRIES[:1], time.now_ms())
     assert found is swap.AttemptState.PERMITTED
