--- a/src/marlramp/core/request_fingerprint.py
+++ b/src/marlramp/core/request_fingerprint.py
@@ -44,7 +44,6 @@
         (customer_id or "").encode(),
     ):
         # The length prefix makes bytes that move between parts change the hash.
-
         digest.update(_LENGTH.pack(len(part)))
         digest.update(part)
     digest.update(body)
--- a/src/marlramp/core/swap.py
+++ b/src/marlramp/core/swap.py
@@ -6,7 +6,6 @@
 to it hold a permit at once, and never permits the last ready one of several to
 stop. The entries need no agreement among themselves.
 
-
 Permits expire on both sides. The agent counts from before its first request and
 uses a permit only in the first half of its validity; the entry counts from the
 arrival of the request. The agent's expiry is therefore always the earlier one,
--- a/src/marlramp/core/swap_times.py
+++ b/src/marlramp/core/swap_times.py
@@ -115,7 +115,6 @@
         """
         if pieces_ready_ms > self.latest_ms:
             # Time without a serving engine costs more than the cut requests.
-
             return 0.0
         away_ms = AWAY_SHARE_MAX * self.spread_ms
         return min(DRAIN_MAX_MS, max(DRAIN_MIN_MS, away_ms - self.load_ms))
--- a/tests/core/test_crash_ledger.py
+++ b/tests/core/test_crash_ledger.py
@@ -157,7 +157,6 @@
         one.merge(rng.sample(sent, len(sent)), NOW_MS)
     # Successful runs that a record holds clear more suspects once an update of
     # a crash arrives.
-
     for one, other in itertools.permutations(records, 2):
         crashes = other.ledger.differing(one.ledger.digests(), rng)
         one.merge(other.ledger.export(crashes, NOW_MS), NOW_MS)
--- a/tests/core/test_swap.py
+++ b/tests/core/test_swap.py
@@ -106,7 +106,6 @@
 ) -> None:
     # Guards against a fixed validity of permits: every attempt then expires
     # before its answers arrive.
-
     permits = swap.PermitCollector()
     in_flight: list[tuple[float, int, float]] = []
     permits.begin(time.now_ms())
@@ -170,7 +169,6 @@
     permits.begin(time.now_ms())
     assert permits.next_requests(ENTRIES[:1], time.now_ms()) == ENTRIES[:1]
     # An entry that is heard first now gets a request in the same attempt.
-
     assert permits.next_requests(ENTRIES, time.now_ms()) == ENTRIES[1:]
     number = permits.number
     permits.handle_answer(ENTRIES[1], number, True, 3_000.0, time.now_ms())
