--- a/src/marlramp/core/swap_times.py
+++ b/src/marlramp/core/swap_schedule.py
@@ -68,7 +68,7 @@
     return min(SPREAD_MAX_MS, max(SPREAD_MIN_MS, left_ms))
 
 
-class Turns(msgspec.Struct, frozen=True, kw_only=True):
+class SwapSchedule(msgspec.Struct, frozen=True, kw_only=True):
     """Schedule by which the engines of a service change to one version.
 
     Attributes:
@@ -121,13 +121,13 @@
 
 
 def begins_ms(
-    turns: Turns | None, share: float, pieces_ready_ms: float
+    schedule: SwapSchedule | None, share: float, pieces_ready_ms: float
 ) -> float:
     """Returns when an engine starts to load.
 
     Args:
-      turns: the schedule of the version, None if the time at which the version
-        was named is unknown.
+      schedule: the schedule of the version, None if the time at which the
+        version was named is unknown.
       share: the engine's position in the order, from 0 (first) to 1 (last).
       pieces_ready_ms: when the engine's pieces are complete.
 
@@ -135,9 +135,9 @@
       A time on the process's clock, minus infinity if the engine may load at
       once.
     """
-    if turns is None:
+    if schedule is None:
         return float("-inf")
-    return turns.begins_ms(share, pieces_ready_ms)
+    return schedule.begins_ms(share, pieces_ready_ms)
 
 
 def share_of(vm_id: str, vm_ids: Collection[str], key: str) -> float:
--- a/src/marlramp/direct/agent_daemon.py
+++ b/src/marlramp/direct/agent_daemon.py
@@ -17,7 +17,7 @@
 from marlramp.core import lifecycle
 from marlramp.core import members
 from marlramp.core import replica_view
-from marlramp.core import swap_times
+from marlramp.core import swap_schedule
 from marlramp.direct import metrics
 from marlramp.direct import settings_watch
 from marlramp.direct import side_server
@@ -261,10 +261,10 @@
         self, wanted: version_digests.Wanted, there_ms: float
     ) -> float:
         """Returns when the engine may load pieces that are there then."""
-        share = swap_times.share_of(
+        share = swap_schedule.share_of(
             self._own.vm_id, list(self._peers), wanted.name
         )
-        return swap_times.begins_ms(self._turns(wanted), share, there_ms)
+        return swap_schedule.begins_ms(self._turns(wanted), share, there_ms)
 
     def drain_ms(
         self, wanted: version_digests.Wanted, there_ms: float
@@ -273,7 +273,9 @@
         turns = self._turns(wanted)
         return 0.0 if turns is None else turns.drain_ms(there_ms)
 
-    def _turns(self, wanted: version_digests.Wanted) -> swap_times.Turns | None:
+    def _turns(
+        self, wanted: version_digests.Wanted
+    ) -> swap_schedule.SwapSchedule | None:
         """Returns the turns of a version, None if its age is not known."""
         target = self._weights.target(wanted.model)
         held = 0 if self._report is None else self._report.weights
@@ -281,7 +283,7 @@
         if named_ms is None:
             return None
         engine = self._weights.engine
-        return swap_times.Turns(
+        return swap_schedule.SwapSchedule(
             binds_ms=named_ms + self._settings.bounds.version_ms,
             spread_ms=self._spread_ms(),
             load_ms=0.0 if engine is None else engine.load_ms,
@@ -291,8 +293,8 @@
         """Returns the time over which the engines begin to load."""
         engine = self._weights.engine
         if engine is None:
-            return swap_times.SPREAD_MIN_MS
-        return swap_times.spread_ms(
+            return swap_schedule.SPREAD_MIN_MS
+        return swap_schedule.spread_ms(
             engine.pieces * engine.piece_bytes,
             self._settings.link_bytes_per_s,
             self._settings.bounds.version_ms,
--- a/tests/core/test_direct_decisions.py
+++ b/tests/core/test_direct_decisions.py
@@ -14,7 +14,7 @@
 from marlramp.core import fleet
 from marlramp.core import replica_view
 from marlramp.core import retry_share
-from marlramp.core import swap_times
+from marlramp.core import swap_schedule
 from marlramp.core import upstream_choice
 
 MakeReplica: TypeAlias = Callable[..., fleet.Replica]
@@ -174,20 +174,20 @@
     assert splitter.events == 2
 
 
-def turns(spread_ms: float = 1_900.0) -> swap_times.Turns:
-    return swap_times.Turns(
+def turns(spread_ms: float = 1_900.0) -> swap_schedule.SwapSchedule:
+    return swap_schedule.SwapSchedule(
         binds_ms=8_000.0, spread_ms=spread_ms, load_ms=300.0
     )
 
 
 def shares(count: int) -> list[float]:
     names = [f"vm-{n}" for n in range(count)]
-    return sorted(swap_times.share_of(n, names, "m@2") for n in names)
+    return sorted(swap_schedule.share_of(n, names, "m@2") for n in names)
 
 
 def test_engines_load_one_after_the_other_before_the_bound() -> None:
     begins = [turns().begins_ms(share, 5_000.0) for share in shares(12)]
-    assert begins[-1] == 8_000.0 - swap_times.LATEST_MARGIN_MS
+    assert begins[-1] == 8_000.0 - swap_schedule.LATEST_MARGIN_MS
     assert begins[0] == begins[-1] - 1_900.0
     gaps = [later - sooner for sooner, later in itertools.pairwise(begins)]
     assert max(gaps) - min(gaps) < 1.0
@@ -208,7 +208,7 @@
 
 def test_second_half_follows_as_soon_as_the_first_is_back() -> None:
     begins = [turns().begins_ms(share, 7_400.0) for share in shares(12)]
-    assert begins.count(7_400.0 + 300.0 + swap_times.LATE_GAP_MS) == 6
+    assert begins.count(7_400.0 + 300.0 + swap_schedule.LATE_GAP_MS) == 6
 
 
 def test_pieces_that_come_after_the_bound_are_loaded_without_turns() -> None:
@@ -220,8 +220,8 @@
 def test_engines_use_the_time_that_is_left_once_the_pieces_are_there(
     bound_ms: float,
 ) -> None:
-    spread_ms = swap_times.spread_ms(2_097_152, 475_000.0, bound_ms)
-    latest_ms = bound_ms - swap_times.LATEST_MARGIN_MS
+    spread_ms = swap_schedule.spread_ms(2_097_152, 475_000.0, bound_ms)
+    latest_ms = bound_ms - swap_schedule.LATEST_MARGIN_MS
     copy_ms = 2_097_152 / 475_000.0 * 1_000.0
     assert latest_ms - spread_ms >= copy_ms
     assert latest_ms - spread_ms <= 1.3 * copy_ms
@@ -243,20 +243,20 @@
 
 
 def test_bound_that_is_too_short_leaves_turns_all_the_same() -> None:
-    spread_ms = swap_times.spread_ms(2_097_152, 475_000.0, 5_000.0)
-    assert spread_ms == swap_times.SPREAD_MIN_MS
+    spread_ms = swap_schedule.spread_ms(2_097_152, 475_000.0, 5_000.0)
+    assert spread_ms == swap_schedule.SPREAD_MIN_MS
 
 
 def test_version_of_unknown_age_is_loaded_at_once() -> None:
-    begins_ms = swap_times.begins_ms(None, 1.0, 7_000.0)
+    begins_ms = swap_schedule.begins_ms(None, 1.0, 7_000.0)
     # Also when the clock was read before this was asked.
     assert begins_ms == float("-inf")
 
 
 def test_turns_are_in_another_order_for_each_version() -> None:
     names = [f"vm-{n}" for n in range(12)]
-    first = [swap_times.share_of(n, names, "m@2") for n in names]
-    second = [swap_times.share_of(n, names, "m@3") for n in names]
+    first = [swap_schedule.share_of(n, names, "m@2") for n in names]
+    second = [swap_schedule.share_of(n, names, "m@3") for n in names]
     assert sorted(first) == sorted(second)
     assert first != second
 
