--- a/src/marlramp/core/swap_schedule.py
+++ b/src/marlramp/core/swap_schedule.py
@@ -72,19 +72,19 @@
     """Schedule by which the engines of a service change to one version.
 
     Attributes:
-      binds_ms: when the version is mandatory, on the process's clock.
+      mandatory_ms: when the version is mandatory, on the process's clock.
       spread_ms: time over which engines start to load.
       load_ms: time in which an engine loads a version.
     """
 
-    binds_ms: float
+    mandatory_ms: float
     spread_ms: float
     load_ms: float
 
     @property
     def latest_ms(self) -> float:
         """When the last engine starts to load."""
-        return self.binds_ms - LATEST_MARGIN_MS
+        return self.mandatory_ms - LATEST_MARGIN_MS
 
     def begins_ms(self, share: float, pieces_ready_ms: float) -> float:
         """Returns when an engine starts to load.
@@ -105,7 +105,7 @@
         if share < LATE_FIRST_SHARE:
             return pieces_ready_ms
         back_ms = pieces_ready_ms + self.load_ms + LATE_GAP_MS
-        return max(pieces_ready_ms, min(back_ms, self.binds_ms))
+        return max(pieces_ready_ms, min(back_ms, self.mandatory_ms))
 
     def drain_ms(self, pieces_ready_ms: float) -> float:
         """Returns how long a closing engine finishes its running requests.
--- a/src/marlramp/direct/agent_daemon.py
+++ b/src/marlramp/direct/agent_daemon.py
@@ -284,7 +284,7 @@
             return None
         engine = self._weights.engine
         return swap_schedule.SwapSchedule(
-            binds_ms=named_ms + self._settings.bounds.version_ms,
+            mandatory_ms=named_ms + self._settings.bounds.version_ms,
             spread_ms=self._spread_ms(),
             load_ms=0.0 if engine is None else engine.load_ms,
         )
--- a/tests/core/test_direct_decisions.py
+++ b/tests/core/test_direct_decisions.py
@@ -176,7 +176,7 @@
 
 def turns(spread_ms: float = 1_900.0) -> swap_schedule.SwapSchedule:
     return swap_schedule.SwapSchedule(
-        binds_ms=8_000.0, spread_ms=spread_ms, load_ms=300.0
+        mandatory_ms=8_000.0, spread_ms=spread_ms, load_ms=300.0
     )
 
 
