--- a/src/marlramp/core/swap_schedule.py
+++ b/src/marlramp/core/swap_schedule.py
@@ -86,7 +86,7 @@
         """When the last engine starts to load."""
         return self.mandatory_ms - LATEST_MARGIN_MS
 
-    def begins_ms(self, share: float, pieces_ready_ms: float) -> float:
+    def load_start_ms(self, share: float, pieces_ready_ms: float) -> float:
         """Returns when an engine starts to load.
 
         Pieces that arrive too late for loading one after another reach all
@@ -137,7 +137,7 @@
     """
     if schedule is None:
         return float("-inf")
-    return schedule.begins_ms(share, pieces_ready_ms)
+    return schedule.load_start_ms(share, pieces_ready_ms)
 
 
 def share_of(vm_id: str, vm_ids: Collection[str], key: str) -> float:
--- a/tests/core/test_direct_decisions.py
+++ b/tests/core/test_direct_decisions.py
@@ -186,7 +186,7 @@
 
 
 def test_engines_load_one_after_the_other_before_the_bound() -> None:
-    begins = [turns().begins_ms(share, 5_000.0) for share in shares(12)]
+    begins = [turns().load_start_ms(share, 5_000.0) for share in shares(12)]
     assert begins[-1] == 8_000.0 - swap_schedule.LATEST_MARGIN_MS
     assert begins[0] == begins[-1] - 1_900.0
     gaps = [later - sooner for sooner, later in itertools.pairwise(begins)]
@@ -194,12 +194,12 @@
 
 
 def test_engine_whose_pieces_come_after_its_turn_loads_at_once() -> None:
-    assert turns().begins_ms(0.0, 7_000.0) == 7_000.0
+    assert turns().load_start_ms(0.0, 7_000.0) == 7_000.0
 
 
 def test_pieces_too_late_for_turns_leave_half_of_the_engines_serving() -> None:
     """The origin was away and all pieces came 0.3 s before the bound."""
-    begins = [turns().begins_ms(share, 7_700.0) for share in shares(12)]
+    begins = [turns().load_start_ms(share, 7_700.0) for share in shares(12)]
     assert begins.count(7_700.0) == 6
     # The old version serves until it may not any more.
     assert begins.count(8_000.0) == 6
@@ -207,12 +207,12 @@
 
 
 def test_second_half_follows_as_soon_as_the_first_is_back() -> None:
-    begins = [turns().begins_ms(share, 7_400.0) for share in shares(12)]
+    begins = [turns().load_start_ms(share, 7_400.0) for share in shares(12)]
     assert begins.count(7_400.0 + 300.0 + swap_schedule.LATE_GAP_MS) == 6
 
 
 def test_pieces_that_come_after_the_bound_are_loaded_without_turns() -> None:
-    begins = {turns().begins_ms(share, 8_100.0) for share in shares(12)}
+    begins = {turns().load_start_ms(share, 8_100.0) for share in shares(12)}
     assert begins == {8_100.0}
 
 
