--- a/src/marlramp/core/swap_schedule.py
+++ b/src/marlramp/core/swap_schedule.py
@@ -120,7 +120,7 @@
         return min(DRAIN_MAX_MS, max(DRAIN_MIN_MS, away_ms - self.load_ms))
 
 
-def begins_ms(
+def load_start_ms(
     schedule: SwapSchedule | None, share: float, pieces_ready_ms: float
 ) -> float:
     """Returns when an engine starts to load.
--- a/src/marlramp/direct/agent_daemon.py
+++ b/src/marlramp/direct/agent_daemon.py
@@ -264,7 +264,7 @@
         share = swap_schedule.share_of(
             self._own.vm_id, list(self._peers), wanted.name
         )
-        return swap_schedule.begins_ms(self._turns(wanted), share, there_ms)
+        return swap_schedule.load_start_ms(self._turns(wanted), share, there_ms)
 
     def drain_ms(
         self, wanted: version_digests.Wanted, there_ms: float
--- a/tests/core/test_direct_decisions.py
+++ b/tests/core/test_direct_decisions.py
@@ -248,7 +248,7 @@
 
 
 def test_version_of_unknown_age_is_loaded_at_once() -> None:
-    begins_ms = swap_schedule.begins_ms(None, 1.0, 7_000.0)
+    begins_ms = swap_schedule.load_start_ms(None, 1.0, 7_000.0)
     # Also when the clock was read before this was asked.
     assert begins_ms == float("-inf")
 
