--- a/src/marlramp/core/swap_schedule.py
+++ b/src/marlramp/core/swap_schedule.py
@@ -86,7 +86,7 @@
         """When the last engine starts to load."""
         return self.mandatory_ms - LATEST_MARGIN_MS
 
-    def load_start_ms(self, share: float, pieces_ready_ms: float) -> float:
+    def load_start_ms(self, position: float, pieces_ready_ms: float) -> float:
         """Returns when an engine starts to load.
 
         Pieces that arrive too late for loading one after another reach all
@@ -96,13 +96,13 @@
         is back.
 
         Args:
-          share: the engine's position in the order, from 0 (first) to 1 (last).
+          position: position in the loading order, from 0 (first) to 1 (last).
           pieces_ready_ms: when the engine's pieces are complete.
         """
         if pieces_ready_ms <= self.latest_ms:
-            scheduled_ms = self.latest_ms - (1.0 - share) * self.spread_ms
+            scheduled_ms = self.latest_ms - (1.0 - position) * self.spread_ms
             return max(scheduled_ms, pieces_ready_ms)
-        if share < LATE_FIRST_SHARE:
+        if position < LATE_FIRST_SHARE:
             return pieces_ready_ms
         back_ms = pieces_ready_ms + self.load_ms + LATE_GAP_MS
         return max(pieces_ready_ms, min(back_ms, self.mandatory_ms))
@@ -121,14 +121,14 @@
 
 
 def load_start_ms(
-    schedule: SwapSchedule | None, share: float, pieces_ready_ms: float
+    schedule: SwapSchedule | None, position: float, pieces_ready_ms: float
 ) -> float:
     """Returns when an engine starts to load.
 
     Args:
       schedule: the schedule of the version, None if the time at which the
         version was named is unknown.
-      share: the engine's position in the order, from 0 (first) to 1 (last).
+      position: position in the loading order, from 0 (first) to 1 (last).
       pieces_ready_ms: when the engine's pieces are complete.
 
     Returns:
@@ -137,10 +137,10 @@
     """
     if schedule is None:
         return float("-inf")
-    return schedule.load_start_ms(share, pieces_ready_ms)
+    return schedule.load_start_ms(position, pieces_ready_ms)
 
 
-def share_of(vm_id: str, vm_ids: Collection[str], key: str) -> float:
+def order_position(vm_id: str, vm_ids: Collection[str], key: str) -> float:
     """Returns the position of a VM's engine in the loading order, 0 to 1.
 
     Args:
--- a/src/marlramp/direct/agent_daemon.py
+++ b/src/marlramp/direct/agent_daemon.py
@@ -261,7 +261,7 @@
         self, wanted: version_digests.Wanted, there_ms: float
     ) -> float:
         """Returns when the engine may load pieces that are there then."""
-        share = swap_schedule.share_of(
+        share = swap_schedule.order_position(
             self._own.vm_id, list(self._peers), wanted.name
         )
         return swap_schedule.load_start_ms(self._turns(wanted), share, there_ms)
--- a/tests/core/test_direct_decisions.py
+++ b/tests/core/test_direct_decisions.py
@@ -182,7 +182,7 @@
 
 def shares(count: int) -> list[float]:
     names = [f"vm-{n}" for n in range(count)]
-    return sorted(swap_schedule.share_of(n, names, "m@2") for n in names)
+    return sorted(swap_schedule.order_position(n, names, "m@2") for n in names)
 
 
 def test_engines_load_one_after_the_other_before_the_bound() -> None:
@@ -255,8 +255,8 @@
 
 def test_turns_are_in_another_order_for_each_version() -> None:
     names = [f"vm-{n}" for n in range(12)]
-    first = [swap_schedule.share_of(n, names, "m@2") for n in names]
-    second = [swap_schedule.share_of(n, names, "m@3") for n in names]
+    first = [swap_schedule.order_position(n, names, "m@2") for n in names]
+    second = [swap_schedule.order_position(n, names, "m@3") for n in names]
     assert sorted(first) == sorted(second)
     assert first != second
 
