--- a/src/marlramp/core/agent_table.py
+++ b/src/marlramp/core/agent_table.py
@@ -68,7 +68,7 @@
         return ids.VmId(self.report.vm_id)
 
     @property
-    def takes_work(self) -> bool:
+    def accepts_work(self) -> bool:
         """Whether the agent reports ready and is not listed as leaving."""
         ready = self.report.state is messages.AgentState.READY
         return ready and not self.listed_leaving
@@ -179,7 +179,7 @@
         return [
             info
             for info in self._agents.values()
-            if info.report.service_id == service_id and info.takes_work
+            if info.report.service_id == service_id and info.accepts_work
         ]
 
     def replicas(
@@ -189,7 +189,8 @@
         return [
             swap.Replica(
                 info.vm_id,
-                info.takes_work and now_ms - info.heard_ms <= HEARD_TIMEOUT_MS,
+                info.accepts_work
+                and now_ms - info.heard_ms <= HEARD_TIMEOUT_MS,
             )
             for info in self._agents.values()
             if info.report.service_id == service_id
--- a/src/marlramp/entry/admin_app.py
+++ b/src/marlramp/entry/admin_app.py
@@ -115,7 +115,7 @@
                     str(k): v for k, v in self._owner.queue_lengths().items()
                 },
                 agents=len(agents),
-                agents_ready=sum(1 for info in agents if info.takes_work),
+                agents_ready=sum(1 for info in agents if info.accepts_work),
             )
         )
 
--- a/src/marlramp/entry/metrics.py
+++ b/src/marlramp/entry/metrics.py
@@ -95,5 +95,5 @@
     def _agents_ready(
         self, _: otel.CallbackOptions
     ) -> Iterable[otel.Observation]:
-        ready = sum(1 for info in self._table if info.takes_work)
+        ready = sum(1 for info in self._table if info.accepts_work)
         yield otel.Observation(ready)
