--- a/src/marlramp/core/agent_table.py
+++ b/src/marlramp/core/agent_table.py
@@ -41,8 +41,8 @@
       breaker: the agent's circuit breaker.
       prefixes: digests of prompt prefixes that the upstream probably caches.
       listed_leaving: whether the platform lists the agent as leaving.
-      ahead: whether the agent may have newer settings than this entry; the
-        entry sends it work only once that is ruled out.
+      settings_ahead: whether the agent may have newer settings than this
+        entry; the entry sends it work only once that is ruled out.
       counters: the agent's counters as it last sent them.
     """
 
@@ -59,7 +59,7 @@
         self.breaker = new_breaker
         self.prefixes: set[str] = set()
         self.listed_leaving = False
-        self.ahead = True
+        self.settings_ahead = True
         self.counters: dict[tuple[counters.CounterName, str], int] = {}
 
     @property
@@ -217,7 +217,7 @@
         return [
             self._candidate(info, prefix, now_ms, panic=panic)
             for info in serving
-            if not info.ahead
+            if not info.settings_ahead
             and version in ("", info.report.version)
             and self.grant_pool.count(info.vm_id, now_ms) > 0
         ]
--- a/src/marlramp/entry/daemon.py
+++ b/src/marlramp/entry/daemon.py
@@ -447,9 +447,9 @@
         info = self._table.get(vm_id)
         if info is None or vm_id not in self._revisions:
             return
-        was_ahead = info.ahead
-        info.ahead = self._store.behind(self._revisions[vm_id])
-        if was_ahead and not info.ahead:
+        was_ahead = info.settings_ahead
+        info.settings_ahead = self._store.behind(self._revisions[vm_id])
+        if was_ahead and not info.settings_ahead:
             self._dispatcher.dispatch(ids.ServiceId(info.report.service_id))
 
     def _offer_settings(self, vm_id: ids.VmId) -> None:
--- a/tests/core/test_agent_table.py
+++ b/tests/core/test_agent_table.py
@@ -41,7 +41,7 @@
     for number in range(4):
         result.report(report(number), time.now_ms())
     for info in result:
-        info.ahead = False
+        info.settings_ahead = False
     return result
 
 
@@ -98,7 +98,7 @@
     grant(table, 2, time.now_ms())
     info = table.get(ids.VmId("vm-2"))
     assert info is not None
-    info.ahead = True
+    info.settings_ahead = True
     assert table.candidates(POOL, ANY, "", time.now_ms()) == []
 
 
