--- a/src/marlramp/core/agent_table.py
+++ b/src/marlramp/core/agent_table.py
@@ -105,7 +105,7 @@
         """Returns an agent's state, None if the agent is unknown."""
         return self._agents.get(vm_id)
 
-    def report(
+    def handle_report(
         self, message: messages.AgentReport, now_ms: clock.Millis
     ) -> bool:
         """Records an agent's report.
--- a/src/marlramp/entry/daemon.py
+++ b/src/marlramp/entry/daemon.py
@@ -323,7 +323,7 @@
         self, vm_id: ids.VmId, message: messages.AgentReport
     ) -> None:
         known = self._table.get(vm_id) is not None
-        restarted = self._table.report(message, self._clock.now_ms())
+        restarted = self._table.handle_report(message, self._clock.now_ms())
         if restarted:
             logs.log("agent_restarted", vm=vm_id)
             self._desk.drop(vm_id)
--- a/tests/core/test_agent_table.py
+++ b/tests/core/test_agent_table.py
@@ -39,7 +39,7 @@
 def table(time: clock.ManualClock) -> agent_table.AgentTable:
     result = agent_table.AgentTable(lambda _: SETTINGS)
     for number in range(4):
-        result.report(report(number), time.now_ms())
+        result.handle_report(report(number), time.now_ms())
     for info in result:
         info.settings_ahead = False
     return result
@@ -88,7 +88,7 @@
     table: agent_table.AgentTable, time: clock.ManualClock
 ) -> None:
     grant(table, 1, time.now_ms())
-    assert table.report(report(1, incarnation=2), time.now_ms())
+    assert table.handle_report(report(1, incarnation=2), time.now_ms())
     assert table.grant_pool.count(ids.VmId("vm-1"), time.now_ms()) == 0
 
 
@@ -115,7 +115,7 @@
 ) -> None:
     values = [SETTINGS]
     table = agent_table.AgentTable(lambda _: values[-1])
-    table.report(report(0), time.now_ms())
+    table.handle_report(report(0), time.now_ms())
     info = table.get(ids.VmId("vm-0"))
     assert info is not None
     values.append(schema.Settings(breaker_failures_max=1))
