--- a/src/marlramp/core/agent_table.py
+++ b/src/marlramp/core/agent_table.py
@@ -142,7 +142,7 @@
                 values.breaker_failures_max, values.breaker_open_ms
             )
 
-    def heartbeat(
+    def handle_heartbeat(
         self,
         vm_id: ids.VmId,
         message: messages.AgentHeartbeat,
--- a/src/marlramp/entry/daemon.py
+++ b/src/marlramp/entry/daemon.py
@@ -342,7 +342,7 @@
         if self._table.get(vm_id) is None:
             self._links.send(vm_id, messages.ReportRequest())
             return
-        self._table.heartbeat(vm_id, message, self._clock.now_ms())
+        self._table.handle_heartbeat(vm_id, message, self._clock.now_ms())
         self._revisions[vm_id] = message.revisions
         self._compare_settings(vm_id)
         self._offer_settings(vm_id)
