--- a/src/marlramp/core/agent_table.py
+++ b/src/marlramp/core/agent_table.py
@@ -166,7 +166,7 @@
         self._agents.pop(vm_id, None)
         self.grant_pool.drop(vm_id)
 
-    def silent(self, now_ms: clock.Millis) -> list[ids.VmId]:
+    def timed_out(self, now_ms: clock.Millis) -> list[ids.VmId]:
         """Returns the agents that sent nothing for `HEARD_TIMEOUT_MS`."""
         return [
             vm_id
--- a/src/marlramp/entry/daemon.py
+++ b/src/marlramp/entry/daemon.py
@@ -473,7 +473,7 @@
     def _tick(self) -> None:
         self._lifecycle.serve()
         self._dispatcher.tick()
-        for vm_id in self._table.silent(self._clock.now_ms()):
+        for vm_id in self._table.timed_out(self._clock.now_ms()):
             self._agent_lost(vm_id)
 
     def _send_heartbeats(self) -> None:
--- a/tests/core/test_agent_table.py
+++ b/tests/core/test_agent_table.py
@@ -107,7 +107,7 @@
 ) -> None:
     time.advance(agent_table.HEARD_TIMEOUT_MS + 1)
     table.record_contact(ids.VmId("vm-3"), time.now_ms())
-    assert len(table.silent(time.now_ms())) == 3
+    assert len(table.timed_out(time.now_ms())) == 3
 
 
 def test_changed_breaker_settings_apply_to_known_agents(
