--- a/src/marlramp/core/agent_table.py
+++ b/src/marlramp/core/agent_table.py
@@ -134,7 +134,7 @@
             self.grant_pool.drop(vm_id)
         return restarted
 
-    def settings_changed(self) -> None:
+    def apply_settings(self) -> None:
         """Applies changed settings to the circuit breakers of all agents."""
         for info in self._agents.values():
             values = self._settings_of(ids.ServiceId(info.report.service_id))
--- a/src/marlramp/entry/daemon.py
+++ b/src/marlramp/entry/daemon.py
@@ -435,7 +435,7 @@
     def _settings_accepted(self) -> None:
         self._dispatcher.settings_changed()
         self._admission.settings_changed(self._clock.now_ms())
-        self._table.settings_changed()
+        self._table.apply_settings()
         for vm_id in list(self._revisions):
             self._compare_settings(vm_id)
             self._offer_settings(vm_id)
--- a/tests/core/test_agent_table.py
+++ b/tests/core/test_agent_table.py
@@ -119,6 +119,6 @@
     info = table.get(ids.VmId("vm-0"))
     assert info is not None
     values.append(schema.Settings(breaker_failures_max=1))
-    table.settings_changed()
+    table.apply_settings()
     info.breaker.record_failure(time.now_ms())
     assert not info.breaker.allows(time.now_ms())
