--- a/src/marlramp/core/crash_ledger.py
+++ b/src/marlramp/core/crash_ledger.py
@@ -40,23 +40,23 @@
 it is then the likelier cause than all others together."""
 
 CRASHES_MAX = 512
-"""Crashes that the ledger holds; the latest ones are kept."""
+"""Most crashes that the ledger keeps; the latest ones remain."""
 
 CRASH_AGE_MAX_MS = 600_000.0
-"""Time for which a crash is kept that blocks no request."""
+"""Time after which a crash is dropped unless it blocks a request."""
 
 BUCKETS = 64
-"""Buckets of the ledger whose digests are compared separately."""
+"""Number of buckets of the ledger; their digests are compared separately."""
 
 TRANSIT_MAX_MS = 1_000.0
 """Most by which a crash may seem younger than it is: its age is sent as a
 duration that omits the transit time of each hop."""
 
 CRASHES_PER_ANSWER_MAX = 32
-"""Crashes in one answer, about 8 kB."""
+"""Most crashes in one answer, about 8 kB."""
 
 BLOCKING_PER_ANSWER_MAX = 24
-"""Crashes in one answer that block a request; they are sent first."""
+"""Most crashes in one answer that block a request; they are sent first."""
 
 
 class Suspect(msgspec.Struct, frozen=True, array_like=True):
@@ -120,7 +120,7 @@
 
     Args:
       replica_id: the replica.
-      born_ms: when the replica started, None if unknown.
+      born_ms: Unix time of the start, None if it is unknown.
     """
     return ids.CrashId(f"{replica_id}@{born_ms or 0}")
 
@@ -284,7 +284,7 @@
 
     def _find_blocked(self) -> dict[ids.Fingerprint, Evidence]:
         strikes = {name: self.strikes(name) for name in self._crashes_of}
-        condemned = {}
+        blocked = {}
         for fingerprint, own in strikes.items():
             if own < STRIKES_MIN:
                 continue
@@ -293,8 +293,8 @@
                 self._share(own, crash, strikes) for crash in crash_ids
             ) / len(crash_ids)
             if share >= LIKELIHOOD_SHARE_MIN:
-                condemned[fingerprint] = Evidence(own, share, crash_ids)
-        return condemned
+                blocked[fingerprint] = Evidence(own, share, crash_ids)
+        return blocked
 
     def _share(
         self,
--- a/src/marlramp/core/crash_record.py
+++ b/src/marlramp/core/crash_record.py
@@ -31,7 +31,7 @@
     """Changes to the set of blocked requests.
 
     Attributes:
-      condemned: newly blocked requests and the evidence against each.
+      blocked: newly blocked requests and the evidence against each.
       released: requests that are no longer blocked.
     """
 
--- a/src/marlramp/core/successful_runs.py
+++ b/src/marlramp/core/successful_runs.py
@@ -14,10 +14,11 @@
 from marlramp import ids
 
 REQUESTS_MAX = 4_096
-"""Requests whose runs are kept; those whose run ended last remain."""
+"""Most requests whose runs are kept; those whose latest run is newest remain.
+"""
 
 RUNS_MAX = 8
-"""Runs of one request that are kept."""
+"""Most runs of one request that are kept."""
 
 AGE_MAX_MS = 60_000.0
 """Time after a request's latest successful run for which its runs can clear it.
--- a/src/marlramp/core/swap.py
+++ b/src/marlramp/core/swap.py
@@ -48,7 +48,10 @@
 
 
 class AttemptState(enum.Enum):
-    """State of an agent's attempt to collect permits."""
+    """State of an agent's attempt to collect permits.
+
+    OVER means that no attempt is in progress or that its time has expired.
+    """
 
     WAITING = "waiting"
     PERMITTED = "permitted"
@@ -221,7 +224,7 @@
 
     @property
     def requested(self) -> list[ids.VmId]:
-        """The entries that received a request in the latest attempt."""
+        """The entries that were sent a request in the latest attempt."""
         return list(self._requested_ms)
 
     def begin(self, now_ms: clock.Millis) -> None:
@@ -241,8 +244,9 @@
     ) -> list[ids.VmId]:
         """Returns the entries to send a request to, and records them as sent.
 
-        These are the entries without a usable permit that received no request
-        within the last `REQUEST_RETRY_FRACTION` of the validity.
+        These are the entries that have granted no permit in this attempt and
+        were sent no request in the last `REQUEST_RETRY_FRACTION` of a permit's
+        validity.
         """
         horizon_ms = now_ms - REQUEST_RETRY_FRACTION * self._hold_ms
         found = [
@@ -287,10 +291,10 @@
             return granted
         self._slowest_answer_ms = max(self._slowest_answer_ms, delay_ms)
         if granted:
-            expires_ms = attempt_started_ms + USABLE_FRACTION * min(
+            usable_until_ms = attempt_started_ms + USABLE_FRACTION * min(
                 ttl_ms, self._hold_ms
             )
-            self._usable_until_ms[entry_id] = expires_ms
+            self._usable_until_ms[entry_id] = usable_until_ms
         else:
             self._refused = True
         return False
@@ -329,6 +333,6 @@
         return now_ms >= min(expiries_ms)
 
     def _hold_for(self, delay_ms: float) -> float:
-        """Returns the validity of permits whose answers take `taken_ms`."""
+        """Returns the validity of permits whose answers take `delay_ms`."""
         hold_ms = HOLD_MARGIN * delay_ms / USABLE_FRACTION
         return min(max(hold_ms, HOLD_MIN_MS), self._hold_max_ms)
--- a/tests/core/test_crash_ledger.py
+++ b/tests/core/test_crash_ledger.py
@@ -54,10 +54,10 @@
         assert not record.is_blocked(CULPRIT)
         chance = [innocent(100 * number + n) for n in range(others)]
         add_suspects(record, number, CULPRIT, *chance)
-    condemned = record.ledger.blocked()
-    assert set(condemned) == {CULPRIT}
-    assert condemned[CULPRIT].strikes == 3.0
-    assert condemned[CULPRIT].crash_ids == [crash(n) for n in range(3)]
+    blocked = record.ledger.blocked()
+    assert set(blocked) == {CULPRIT}
+    assert blocked[CULPRIT].strikes == 3.0
+    assert blocked[CULPRIT].crash_ids == [crash(n) for n in range(3)]
 
 
 def test_request_with_a_partial_answer_needs_more_crashes(
--- a/tests/core/test_swap.py
+++ b/tests/core/test_swap.py
@@ -12,27 +12,27 @@
 LONG_AGO = clock.Millis(float("-inf"))
 
 
-def ask(
-    desk: swap.PermitIssuer,
+def try_issue_to(
+    issuer: swap.PermitIssuer,
     vm_id: ids.VmId,
     now_ms: clock.Millis,
     number: int = 1,
     replicas: list[swap.Replica] = REPLICAS,
 ) -> bool:
-    question = swap.PermitRequest(
+    request = swap.PermitRequest(
         vm_id, ids.ServiceId("pool"), START, number, swap.HOLD_MIN_MS
     )
-    return desk.try_issue(
-        question, replicas, 0.34, allow_sole=False, now_ms=now_ms
+    return issuer.try_issue(
+        request, replicas, 0.34, allow_sole=False, now_ms=now_ms
     )
 
 
 def answer_all(
-    permits: swap.PermitCollector, number: int, now_ms: clock.Millis
+    collector: swap.PermitCollector, number: int, now_ms: clock.Millis
 ) -> list[bool]:
-    hold_ms = permits.hold_ms
+    hold_ms = collector.hold_ms
     return [
-        permits.handle_answer(entry_id, number, True, hold_ms, now_ms)
+        collector.handle_answer(entry_id, number, True, hold_ms, now_ms)
         for entry_id in ENTRIES
     ]
 
@@ -40,65 +40,67 @@
 def test_agents_that_hold_each_others_permits_do_not_deadlock(
     time: clock.ManualClock,
 ) -> None:
-    desks = [swap.PermitIssuer(LONG_AGO), swap.PermitIssuer(LONG_AGO)]
+    issuers = [swap.PermitIssuer(LONG_AGO), swap.PermitIssuer(LONG_AGO)]
     for number in range(20):
         # Each agent is the first at one entry, in every attempt.
-        assert ask(desks[0], A, time.now_ms(), number)
-        assert ask(desks[1], B, time.now_ms(), number)
-        assert not ask(desks[1], A, time.now_ms(), number)
-        assert not ask(desks[0], B, time.now_ms(), number)
-        for desk in desks:
-            desk.release(A, START, number)
-            desk.release(B, START, number)
+        assert try_issue_to(issuers[0], A, time.now_ms(), number)
+        assert try_issue_to(issuers[1], B, time.now_ms(), number)
+        assert not try_issue_to(issuers[1], A, time.now_ms(), number)
+        assert not try_issue_to(issuers[0], B, time.now_ms(), number)
+        for issuer in issuers:
+            issuer.release(A, START, number)
+            issuer.release(B, START, number)
         time.advance(swap.RETRY_MIN_MS)
-    assert all(ask(desk, A, time.now_ms()) for desk in desks)
+    assert all(try_issue_to(issuer, A, time.now_ms()) for issuer in issuers)
 
 
 def test_answer_of_an_earlier_attempt_permits_nothing(
     time: clock.ManualClock,
 ) -> None:
-    permits = swap.PermitCollector()
-    permits.begin(time.now_ms())
-    first = permits.number
-    permits.handle_answer(ENTRIES[0], first, True, 3_000.0, time.now_ms())
-    permits.end()
-    permits.begin(time.now_ms())
+    collector = swap.PermitCollector()
+    collector.begin(time.now_ms())
+    first = collector.number
+    collector.handle_answer(ENTRIES[0], first, True, 3_000.0, time.now_ms())
+    collector.end()
+    collector.begin(time.now_ms())
     # The agent must give each permit back: the withdrawal may be lost.
-    assert answer_all(permits, first, time.now_ms()) == [True, True]
-    waits = permits.state(ENTRIES, time.now_ms())
-    assert waits is swap.AttemptState.WAITING
-    assert answer_all(permits, permits.number, time.now_ms()) == [False] * 2
-    found = permits.state(ENTRIES, time.now_ms())
+    assert answer_all(collector, first, time.now_ms()) == [True, True]
+    waiting = collector.state(ENTRIES, time.now_ms())
+    assert waiting is swap.AttemptState.WAITING
+    assert answer_all(collector, collector.number, time.now_ms()) == [False] * 2
+    found = collector.state(ENTRIES, time.now_ms())
     assert found is swap.AttemptState.PERMITTED
 
 
 def test_permit_validity_counts_from_the_request(
     time: clock.ManualClock,
 ) -> None:
-    permits = swap.PermitCollector()
-    permits.begin(time.now_ms())
+    collector = swap.PermitCollector()
+    collector.begin(time.now_ms())
     usable_ms = swap.USABLE_FRACTION * swap.HOLD_MIN_MS
     time.advance(usable_ms - 100.0)
-    answer_all(permits, permits.number, time.now_ms())
-    found = permits.state(ENTRIES, time.now_ms())
+    answer_all(collector, collector.number, time.now_ms())
+    found = collector.state(ENTRIES, time.now_ms())
     assert found is swap.AttemptState.PERMITTED
     time.advance(200.0)
-    assert permits.state(ENTRIES, time.now_ms()) is swap.AttemptState.OVER
+    assert collector.state(ENTRIES, time.now_ms()) is swap.AttemptState.OVER
 
 
 def test_agent_never_uses_a_permit_that_expired_at_its_entry(
     time: clock.ManualClock,
 ) -> None:
     # The agent's expiry is the earlier one, even without network delay.
-    desk = swap.PermitIssuer(LONG_AGO)
-    permits = swap.PermitCollector()
-    permits.begin(time.now_ms())
-    assert ask(desk, A, time.now_ms())
-    answer_all(permits, permits.number, time.now_ms())
-    while permits.state(ENTRIES, time.now_ms()) is swap.AttemptState.PERMITTED:
-        assert not ask(desk, B, time.now_ms())
+    issuer = swap.PermitIssuer(LONG_AGO)
+    collector = swap.PermitCollector()
+    collector.begin(time.now_ms())
+    assert try_issue_to(issuer, A, time.now_ms())
+    answer_all(collector, collector.number, time.now_ms())
+    while (
+        collector.state(ENTRIES, time.now_ms()) is swap.AttemptState.PERMITTED
+    ):
+        assert not try_issue_to(issuer, B, time.now_ms())
         time.advance(10.0)
-    assert not ask(desk, B, time.now_ms())
+    assert not try_issue_to(issuer, B, time.now_ms())
 
 
 def test_answers_delayed_by_ten_seconds_permit_a_swap(
@@ -106,24 +108,24 @@
 ) -> None:
     # Guards against a fixed validity of permits: every attempt then expires
     # before its answers arrive.
-    permits = swap.PermitCollector()
+    collector = swap.PermitCollector()
     in_flight: list[tuple[float, int, float]] = []
-    permits.begin(time.now_ms())
+    collector.begin(time.now_ms())
     for _ in range(600):
         now_ms = time.now_ms()
         while in_flight and in_flight[0][0] <= now_ms:
             _, number, hold_ms = in_flight.pop(0)
             for entry_id in ENTRIES:
-                permits.handle_answer(entry_id, number, True, hold_ms, now_ms)
-        found = permits.state(ENTRIES, now_ms)
+                collector.handle_answer(entry_id, number, True, hold_ms, now_ms)
+        found = collector.state(ENTRIES, now_ms)
         if found is swap.AttemptState.PERMITTED:
             return
         if found is swap.AttemptState.OVER:
-            permits.end()
-            permits.begin(now_ms)
-        if permits.next_requests(ENTRIES, now_ms):
+            collector.end()
+            collector.begin(now_ms)
+        if collector.next_requests(ENTRIES, now_ms):
             due_ms = now_ms + 10_000.0
-            in_flight.append((due_ms, permits.number, permits.hold_ms))
+            in_flight.append((due_ms, collector.number, collector.hold_ms))
         time.advance(100.0)
     raise AssertionError("no swap within 60 s")
 
@@ -131,59 +133,59 @@
 def test_late_withdrawal_does_not_release_a_newer_permit(
     time: clock.ManualClock,
 ) -> None:
-    desk = swap.PermitIssuer(LONG_AGO)
-    assert ask(desk, A, time.now_ms(), number=2)
-    desk.release(A, START, 1)
-    desk.release(A, ids.Incarnation(7), 9)
-    assert not ask(desk, B, time.now_ms())
-    desk.release(A, START, 2)
-    assert ask(desk, B, time.now_ms())
+    issuer = swap.PermitIssuer(LONG_AGO)
+    assert try_issue_to(issuer, A, time.now_ms(), number=2)
+    issuer.release(A, START, 1)
+    issuer.release(A, ids.Incarnation(7), 9)
+    assert not try_issue_to(issuer, B, time.now_ms())
+    issuer.release(A, START, 2)
+    assert try_issue_to(issuer, B, time.now_ms())
 
 
 def test_restarted_entry_refuses_while_earlier_permits_may_be_valid(
     time: clock.ManualClock,
 ) -> None:
     # The previous process may just have permitted another replica to stop.
-    desk = swap.PermitIssuer(time.now_ms())
+    issuer = swap.PermitIssuer(time.now_ms())
     time.advance(swap.HOLD_MIN_MS - 1.0)
-    assert not ask(desk, A, time.now_ms())
+    assert not try_issue_to(issuer, A, time.now_ms())
     time.advance(1.0)
-    assert ask(desk, A, time.now_ms())
+    assert try_issue_to(issuer, A, time.now_ms())
 
 
 def test_permit_of_a_replica_whose_link_is_lost_counts_until_it_expires(
     time: clock.ManualClock,
 ) -> None:
     # The replica may be paused, and swap once it resumes.
-    desk = swap.PermitIssuer(LONG_AGO)
-    assert ask(desk, A, time.now_ms())
-    assert not ask(desk, B, time.now_ms(), replicas=REPLICAS[1:])
+    issuer = swap.PermitIssuer(LONG_AGO)
+    assert try_issue_to(issuer, A, time.now_ms())
+    assert not try_issue_to(issuer, B, time.now_ms(), replicas=REPLICAS[1:])
     time.advance(swap.HOLD_MIN_MS)
-    assert ask(desk, B, time.now_ms(), replicas=REPLICAS[1:])
+    assert try_issue_to(issuer, B, time.now_ms(), replicas=REPLICAS[1:])
 
 
 def test_request_to_an_entry_without_an_answer_is_repeated(
     time: clock.ManualClock,
 ) -> None:
-    permits = swap.PermitCollector()
-    permits.begin(time.now_ms())
-    assert permits.next_requests(ENTRIES[:1], time.now_ms()) == ENTRIES[:1]
+    collector = swap.PermitCollector()
+    collector.begin(time.now_ms())
+    assert collector.next_requests(ENTRIES[:1], time.now_ms()) == ENTRIES[:1]
     # An entry that is heard first now gets a request in the same attempt.
-    assert permits.next_requests(ENTRIES, time.now_ms()) == ENTRIES[1:]
-    number = permits.number
-    permits.handle_answer(ENTRIES[1], number, True, 3_000.0, time.now_ms())
+    assert collector.next_requests(ENTRIES, time.now_ms()) == ENTRIES[1:]
+    number = collector.number
+    collector.handle_answer(ENTRIES[1], number, True, 3_000.0, time.now_ms())
     time.advance(swap.REQUEST_RETRY_FRACTION * swap.HOLD_MIN_MS)
-    assert permits.next_requests(ENTRIES, time.now_ms()) == ENTRIES[:1]
+    assert collector.next_requests(ENTRIES, time.now_ms()) == ENTRIES[:1]
 
 
 def test_entry_that_left_does_not_block_an_attempt(
     time: clock.ManualClock,
 ) -> None:
-    permits = swap.PermitCollector()
-    permits.begin(time.now_ms())
-    number = permits.number
-    permits.handle_answer(ENTRIES[0], number, True, 3_000.0, time.now_ms())
-    waits = permits.state(ENTRIES, time.now_ms())
-    assert waits is swap.AttemptState.WAITING
-    found = permits.state(ENTRIES[:1], time.now_ms())
+    collector = swap.PermitCollector()
+    collector.begin(time.now_ms())
+    number = collector.number
+    collector.handle_answer(ENTRIES[0], number, True, 3_000.0, time.now_ms())
+    waiting = collector.state(ENTRIES, time.now_ms())
+    assert waiting is swap.AttemptState.WAITING
+    found = collector.state(ENTRIES[:1], time.now_ms())
     assert found is swap.AttemptState.PERMITTED
