--- a/src/marlramp/core/swap_schedule.py
+++ b/src/marlramp/core/swap_schedule.py
@@ -48,7 +48,7 @@
 them."""
 
 LATEST_MARGIN_MS = 700.0
-"""Time before the version is mandatory at which every engine starts to load,
+"""Time before the version is mandatory by which every engine starts to load,
 since entries send no requests to an engine on the old version from then on."""
 
 
