--- a/src/marlramp/core/assembly.py
+++ b/src/marlramp/core/assembly.py
@@ -1,4 +1,4 @@
-"""Puts the parts of one answer in order and checks that it is whole."""
+"""Puts the parts of an answer in order and checks that it is complete."""
 
 from __future__ import annotations
 
@@ -8,17 +8,18 @@
 from marlramp import ids
 
 PENDING_PARTS_MAX = 256
-"""Most parts kept while an earlier one is missing."""
+"""Maximum number of parts buffered while an earlier part is missing."""
 
 
 class Part(msgspec.Struct, frozen=True, array_like=True):
     """One part of an answer.
 
     Attributes:
-      seq: position within the answer, from 0.
-      data: bytes that go to the caller unchanged.
-      version: model version that produced the part, empty for plain services.
-      last: whether the answer ends here; `seq + 1` is then the part count.
+      seq: position of the part in the answer, from 0.
+      data: bytes that are sent to the caller unchanged.
+      version: model version that produced the part, empty for a service that
+        has no model.
+      last: whether this part ends the answer, which then has `seq + 1` parts.
     """
 
     seq: int
@@ -28,10 +29,10 @@
 
 
 class Assembly:
-    """The answer to one request, as far as it has arrived."""
+    """Parts of the answer to one request that have arrived so far."""
 
     def __init__(self) -> None:
-        """Starts with no part."""
+        """Starts without parts."""
         self._next_seq = 0
         self._pending: dict[int, Part] = {}
         self._version: ids.VersionId | None = None
@@ -44,7 +45,7 @@
 
     @property
     def version(self) -> ids.VersionId | None:
-        """Version of all parts delivered so far."""
+        """Version of the parts delivered so far, None before the first."""
         return self._version
 
     @property
@@ -54,19 +55,22 @@
 
     @property
     def has_gap(self) -> bool:
-        """Whether a later part has arrived before an earlier one."""
+        """Whether parts are buffered because an earlier one is missing."""
         return bool(self._pending)
 
     def restart(self) -> None:
-        """Forgets parts that were not delivered, before a resumption."""
+        """Discards the parts that were not delivered, before a resumption."""
         self._pending.clear()
 
     def add(self, part: Part) -> list[Part]:
-        """Takes a part in any order and returns those now deliverable.
+        """Adds a part, in any order, and returns the parts to deliver now.
+
+        A part that was delivered before is ignored.
 
         Raises:
-          errors.CallError: if the part comes from another version than the
-            parts before it, or too many parts are pending.
+          errors.CallError: if a part to deliver comes from another version than
+            the parts before it, or if more than `PENDING_PARTS_MAX` parts wait
+            for an earlier one.
         """
         if self._complete or part.seq < self._next_seq:
             return []
--- a/src/marlramp/core/chunk_bitmap.py
+++ b/src/marlramp/core/chunk_bitmap.py
@@ -1,10 +1,10 @@
-"""Sets of chunk indexes as bit maps, as messages carry them."""
+"""Converts sets of chunk indexes to the bitmaps that messages carry."""
 
 from __future__ import annotations
 
 
 def to_bitmap(indexes: set[int]) -> bytes:
-    """Returns chunk indexes as a bit map, least significant bit first."""
+    """Returns chunk indexes as a bitmap, least significant bit first."""
     if not indexes:
         return b""
     bits = bytearray(max(indexes) // 8 + 1)
@@ -14,7 +14,7 @@
 
 
 def from_bitmap(bitmap: bytes) -> list[int]:
-    """Returns the chunk indexes in a bit map."""
+    """Returns the chunk indexes in a bitmap, in ascending order."""
     return [
         8 * position + bit
         for position, byte in enumerate(bitmap)
--- a/src/marlramp/core/manifest.py
+++ b/src/marlramp/core/manifest.py
@@ -1,4 +1,4 @@
-"""Manifests: the chunks that make up one version of a model or adapter."""
+"""Manifests, which list the chunks of one version of a model or adapter."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from marlramp import ids
 
 CHUNKS_MAX = 65_536
-"""Most chunks of one manifest."""
+"""Maximum number of chunks in one manifest."""
 
 
 class ManifestError(Exception):
@@ -22,12 +22,12 @@
     """Content of one version.
 
     Attributes:
-      model: model name.
-      version: version stamped on answers.
-      chunk_bytes: size of every chunk but the last.
-      total_bytes: size of the whole.
-      chunks: digest of each chunk, in order.
-      whole: digest of the whole.
+      model: name of the model.
+      version: version that answers of the model are labelled with.
+      chunk_bytes: size of every chunk but the last, in bytes.
+      total_bytes: size of the complete content, in bytes.
+      chunks: digest of each chunk, in the order of the content.
+      whole: digest of the complete content.
     """
 
     model: str
@@ -59,15 +59,16 @@
 
 
 def encode(manifest: Manifest) -> bytes:
-    """Returns the bytes whose digest names the manifest."""
+    """Returns the encoded manifest, whose digest identifies it."""
     return _encoder.encode(manifest)
 
 
 def decode(data: bytes, expected: ids.Digest) -> Manifest:
-    """Returns the manifest in `data`.
+    """Returns the manifest that `data` encodes.
 
     Raises:
-      ManifestError: if `data` has another digest or is inconsistent.
+      ManifestError: if the digest of `data` differs from `expected`, if `data`
+        is malformed, or if its sizes and its chunk count disagree.
     """
     if digest_of(data) != expected:
         raise ManifestError("digest differs from the one published")
@@ -84,7 +85,7 @@
 
 
 def build(model: str, version: str, data: bytes, chunk_bytes: int) -> Manifest:
-    """Returns the manifest of `data`."""
+    """Returns the manifest of `data`, split into chunks of `chunk_bytes`."""
     chunks = [
         digest_of(data[start : start + chunk_bytes])
         for start in range(0, len(data), chunk_bytes)
@@ -95,14 +96,19 @@
 
 
 class Whole:
-    """Chunks of one manifest held by this VM, checked one by one."""
+    """Verified chunks of one manifest that this VM holds."""
 
     def __init__(
         self,
         manifest: Manifest,
         digest: Callable[[bytes], str] = digest_of,
     ) -> None:
-        """Starts with no chunk; chunks are checked by their `digest`."""
+        """Starts without chunks.
+
+        Args:
+          manifest: the manifest to collect chunks for.
+          digest: function that computes the digest that a chunk is checked by.
+        """
         self.manifest = manifest
         self._digest = digest
         self._chunks: dict[int, bytes] = {}
@@ -118,7 +124,7 @@
         return len(self._chunks) == len(self.manifest.chunks)
 
     def get(self, index: int) -> bytes | None:
-        """Returns a verified chunk, or None."""
+        """Returns a verified chunk, or None if it is not held."""
         return self._chunks.get(index)
 
     def matches(self, index: int, data: bytes) -> bool:
@@ -126,7 +132,11 @@
         return self._digest(data) == self.manifest.chunks[index]
 
     def add(self, index: int, data: bytes) -> bool:
-        """Keeps a chunk if it is the right one; returns whether it is."""
+        """Stores a chunk if its digest matches.
+
+        Returns:
+          Whether the index is valid and the digest of the chunk matches.
+        """
         if not 0 <= index < len(self.manifest.chunks):
             return False
         if not self.matches(index, data):
@@ -135,7 +145,11 @@
         return True
 
     def adopt(self, other: Whole) -> int:
-        """Takes over verified chunks in common; returns how many."""
+        """Copies the verified chunks that both manifests list.
+
+        Returns:
+          The number of chunks that were not held before.
+        """
         by_digest = {
             other.manifest.chunks[index]: data
             for index, data in other._chunks.items()
@@ -147,7 +161,7 @@
         return len(self._chunks) - before
 
     def verify_whole(self) -> bool:
-        """Returns whether the chunks together have the manifest's digest."""
+        """Returns whether all chunks are held and match the total digest."""
         if not self.complete:
             return False
         hasher = blake3.blake3()
--- a/src/marlramp/core/rollout_limit.py
+++ b/src/marlramp/core/rollout_limit.py
@@ -1,9 +1,9 @@
-"""When new weights could be in force at the earliest, by the links alone.
+"""Computes the earliest time at which the links allow new weights in force.
 
-Load pattern: a version is named, and all VMs lack it at once. Its pieces leave
-the origin once, each VM's link takes them in, and all links together pass them
-on; whichever of the three is slowest sets the limit that a rollout is measured
-against.
+Load pattern: when a version is named, all VMs lack it at once. Its pieces leave
+the origin once, each VM receives them over its own link, and all links together
+forward them. The slowest of these three transfers sets the lower limit that the
+duration of a rollout is compared with.
 """
 
 from __future__ import annotations
@@ -14,18 +14,18 @@
 
 
 class Rollout(msgspec.Struct, frozen=True, kw_only=True):
-    """A version on its way to the VMs that lack it.
+    """Sizes and rates of the rollout of one version to VMs that lack it.
 
     Attributes:
-      missing_bytes: bytes that each of these VMs lacks.
-      origin_bytes: bytes that no VM holds, so that only the origin has them.
-      origin_bytes_per_s: rate of the origin.
-      down_bytes_per_s: what live calls leave of a VM's link, inwards.
-      up_bytes_per_s: the same outwards.
-      vms: VMs that lack the version.
-      holders: VMs that hold all of it.
-      relay_bytes_per_s: rate at which entries pass pieces on, all together.
-      load_ms: time in which an engine loads it.
+      missing_bytes: bytes that each VM without the version lacks.
+      origin_bytes: bytes that no VM holds, which only the origin can send.
+      origin_bytes_per_s: rate at which the origin sends.
+      down_bytes_per_s: rate at which a VM can receive beside live calls.
+      up_bytes_per_s: rate at which a VM can send beside live calls.
+      vms: number of VMs that lack the version.
+      holders: number of VMs that hold the complete version.
+      relay_bytes_per_s: rate at which all entries together forward pieces.
+      load_ms: time in which an engine loads the version.
     """
 
     missing_bytes: int
@@ -40,12 +40,14 @@
 
 
 class Limit(msgspec.Struct, frozen=True):
-    """Earliest times at which engines can serve, from the name on.
+    """Earliest times at which engines can serve a version.
+
+    All times count from when the version is named.
 
     Attributes:
-      first_ms: one engine.
-      half_ms: half of the engines.
-      all_ms: all of them.
+      first_ms: when one engine can serve the version.
+      half_ms: when half of the engines can serve the version.
+      all_ms: when all engines can serve the version.
     """
 
     first_ms: float
@@ -63,14 +65,14 @@
 
 
 def _served_ms(rollout: Rollout, count: int) -> float:
-    """Returns when so many engines can serve."""
-    drawn_s = rollout.origin_bytes / rollout.origin_bytes_per_s
-    taken_s = rollout.missing_bytes / rollout.down_bytes_per_s
+    """Returns the earliest time at which `count` engines can serve."""
+    origin_s = rollout.origin_bytes / rollout.origin_bytes_per_s
+    download_s = rollout.missing_bytes / rollout.down_bytes_per_s
     senders = rollout.vms + rollout.holders
     fleet_bytes_per_s = senders * rollout.up_bytes_per_s
     fleet_bytes_per_s += rollout.relay_bytes_per_s
     if rollout.origin_bytes:
         fleet_bytes_per_s += rollout.origin_bytes_per_s
-    passed_s = count * rollout.missing_bytes / fleet_bytes_per_s
-    whole_s = max(drawn_s, taken_s, passed_s)
-    return whole_s * clock.MILLIS_PER_SECOND + rollout.load_ms
+    forward_s = count * rollout.missing_bytes / fleet_bytes_per_s
+    transfer_s = max(origin_s, download_s, forward_s)
+    return transfer_s * clock.MILLIS_PER_SECOND + rollout.load_ms
--- a/src/marlramp/core/swarm.py
+++ b/src/marlramp/core/swarm.py
@@ -1,11 +1,11 @@
-"""Choice of chunks to fetch, from which neighbour, and when from the origin.
-
-The origin sends each chunk once: its fetcher is the first VM in the
-rendezvous order of the chunk's group. Fetchers work through the chunks in one
-common order, within a window that moves as chunks are seen anywhere, so the
-first chunks leave the origin early instead of all at once. Neighbours tell
-each other what they hold and what they have seen; everything else is pulled
-from neighbours, rarest first.
+"""Decides which chunks a VM fetches from neighbours and from the origin.
+
+The origin sends each chunk once: its fetcher is the first VM in the rendezvous
+order of the chunk's group. All fetchers process the chunks in one common order,
+within a window that advances as chunks are seen on any VM. The first chunks
+therefore leave the origin early, instead of all chunks arriving late together.
+Neighbours announce to each other the chunks that they hold and those that they
+have seen. A VM fetches all other chunks from its neighbours, rarest first.
 """
 
 from __future__ import annotations
@@ -23,76 +23,82 @@
 from marlramp.core import rendezvous
 
 ORIGIN_GROUPS = 256
-"""Chunks are assigned to fetchers in this many groups."""
+"""Maximum number of groups in which chunks are assigned to fetchers."""
 
 ORIGIN_WINDOW = 32
-"""Chunks of the common order that may be under way from the origin, unless the
-policy says else."""
+"""Default width of the window, in chunks of the common order, within which
+chunks may be in flight from the origin."""
 
 ORIGIN_IN_FLIGHT_MAX = 2
-"""Chunks one VM draws from the origin at once, unless the policy says else."""
+"""Default number of chunks that one VM fetches from the origin at once."""
 
 LAST_CHUNKS = 16
+"""Number of unseen chunks from which on a VM fetches up to `LAST_IN_FLIGHT_MAX`
+chunks from the origin at once."""
+
 LAST_IN_FLIGHT_MAX = 4
-"""When only so many chunks are still unseen, one VM draws more of them at once:
-nothing comes after them, and an origin that was away for a while would stand
-idle while one VM draws several in turn (8 chunks took 1.1 s, not 0.4 s)."""
+"""Chunks that one VM fetches from the origin at once when at most `LAST_CHUNKS`
+are unseen. No chunks follow the last ones, and after an outage the origin would
+be idle between the fetches of a VM that fetches several chunks one after
+another: 8 chunks took 1.1 s instead of 0.4 s."""
 
 ORIGIN_CHECK_MS = 20.0
-"""Least time between looks for chunks to draw from the origin: it stands idle
-for as long after each chunk."""
+"""Minimum time between checks for chunks to fetch from the origin. The origin
+is idle for up to this time after each chunk."""
 
 LATE_FACTOR = 4.0
-"""A chunk is late at this multiple of its neighbour's recent pace."""
+"""Multiple of a neighbour's smoothed time per chunk after which a chunk from it
+is late."""
 
 LATE_FLOOR_MS = 400.0
-"""No chunk is late before this, however fast its neighbour was."""
+"""Minimum time after which a chunk is late, however fast the neighbour was."""
 
 SLOW_PENALTY_MS = 2_000.0
-"""How long a neighbour whose chunk was late is asked for nothing."""
+"""Backoff for a neighbour whose chunk was late."""
 
 BUSY_PENALTY_MS = 100.0
-"""How long a neighbour that refused is asked for nothing."""
+"""Backoff for a neighbour that refused a request."""
 
 CORRUPT_MAX = 2
-"""Corrupt chunks after which a neighbour is asked for nothing more."""
+"""Number of corrupt chunks after which a neighbour gets no more requests."""
 
 STANDSTILL_MS = 600.0
-"""A VM to which no chunk came for so long waits for the origin, or for others
-that do: a chunk takes a tenth of it on its own."""
+"""Time without a new chunk after which the transfer is stalled: the VM waits
+for the origin, or for VMs that wait for the origin. The transfer of a single
+chunk takes a tenth of this time."""
 
 PACE_SMOOTHING = 0.3
-"""Weight of the newest transfer in a neighbour's smoothed pace."""
+"""Weight of the newest transfer in a neighbour's smoothed time per chunk."""
 
 RELAY_IN_FLIGHT_MAX = 3
-"""Chunks asked of relays at once: enough that the own link never stands idle
-while they send, and few enough that what live calls send here waits little
-behind them on it."""
+"""Chunks that are requested from all relays at once. They are enough to keep
+the own link busy while the relays send, and few enough that the traffic of live
+calls on this link is hardly delayed."""
 
 RELAY_CREDITS = 2
-"""Chunks asked of one relay at once."""
+"""Chunks that are requested from one relay at once."""
 
 RELAY_PATIENCE_MS = 8_000.0
-"""How long a VM that gets nothing leaves the origin and other regions to the
-relays: longer than an origin is usually away, since chunks that both draw once
-it is back come later to all."""
+"""Time without a new chunk after which a VM stops leaving the origin and other
+regions to the relays. It is longer than a usual outage of the origin, because
+chunks that both the VM and a relay fetch after an outage delay all VMs."""
 
 
 class FetchFromPeer(msgspec.Struct, frozen=True):
-    """Ask a neighbour for a chunk."""
+    """Request a chunk from a neighbour."""
 
     peer_id: ids.VmId
     index: int
 
 
 class FetchFromOrigin(msgspec.Struct, frozen=True):
-    """Draw a chunk from the origin."""
+    """Fetch a chunk from the origin."""
 
     index: int
 
 
 class CancelFetch(msgspec.Struct, frozen=True):
-    """Withdraw a request that is late."""
+    """Cancel a request whose chunk is late."""
 
     peer_id: ids.VmId
     index: int
@@ -102,14 +108,14 @@
 
 
 class Peer(msgspec.Struct):
-    """What is known of one neighbour.
+    """State of one neighbour.
 
     Attributes:
-      held: chunks it holds.
-      pace_ms: smoothed time per chunk, None before the first.
-      in_flight: chunks asked for and when.
-      not_before_ms: it is asked for nothing before this.
-      corrupt: corrupt chunks it sent.
+      held: chunks that the neighbour holds.
+      pace_ms: smoothed time per chunk, None before the first chunk.
+      in_flight: chunks requested from the neighbour, with the request's time.
+      not_before_ms: end of the backoff, before which nothing is requested.
+      corrupt: number of corrupt chunks that the neighbour sent.
     """
 
     held: set[int]
@@ -120,7 +126,13 @@
 
 
 class OriginUse(enum.Enum):
-    """Who draws a chunk from the origin."""
+    """Selection of the VMs that fetch a chunk from the origin.
+
+    Attributes:
+      RANKED: the first VM of the chunk's order, and others after a wait.
+      EVERYONE: all VMs.
+      ROOT: one VM for all chunks.
+    """
 
     RANKED = "ranked"
     EVERYONE = "everyone"
@@ -131,21 +143,25 @@
     """Settings of the swarm.
 
     Attributes:
-      origin_copies_max: copies that may leave the origin without a fault.
-      takeover_ms: least wait per rank before a chunk is drawn again.
-      origin_use: who draws from the origin; RANKED but for baselines.
-      credits_per_peer: chunks asked of one neighbour at once.
-      in_flight_max: chunks asked of all neighbours at once; few that arrive
-        soon can be passed on sooner than many that share the link.
-      origin_window: chunks of the common order that may be under way from the
+      origin_copies_max: copies of a chunk that may leave the origin while
+        nothing fails.
+      takeover_ms: minimum wait per rank before another VM fetches a chunk from
+        the origin.
+      origin_use: VMs that fetch from the origin; other values than RANKED are
+        baselines for comparison.
+      credits_per_peer: chunks requested from one neighbour at once.
+      in_flight_max: chunks requested from all neighbours at once. A few chunks
+        that arrive soon can be forwarded sooner than many that share the link.
+      import_takeover_ms: minimum wait per rank before another VM of a region
+        fetches a chunk from other regions.
+      rare_wait_ms: wait per rank before a chunk with only one holder is fetched
+        from the origin again, None for never.
+      takeover_max_ms: limit to which the wait per rank grows while chunks
+        arrive slowly.
+      origin_in_flight_max: chunks that one VM fetches from the origin at once.
+        One chunk arrives sooner than several that share the origin's link.
+      origin_window: chunks of the common order that may be in flight from the
         origin.
-      origin_in_flight_max: chunks drawn from the origin at once; one comes
-        sooner than several that share the origin's link.
-      takeover_max_ms: most that the wait per rank grows to in a slow pass.
-      rare_wait_ms: wait per rank before a chunk that has one holder only is
-        drawn from the origin again, None for never.
-      import_takeover_ms: least wait per rank before a chunk is brought into a
-        region by another of its VMs.
     """
 
     origin_copies_max: float
@@ -173,17 +189,17 @@
         rng: random.Random,
         origin_after_ms: float = 0.0,
     ) -> None:
-        """Starts with the chunks already held and no neighbour.
+        """Starts with the chunks that are held already, without neighbours.
 
         Args:
-          vm_id: the own VM.
+          vm_id: ID of the own VM.
           chunk_digests: digest of each chunk.
-          held: chunks already held.
-          policy: settings.
-          now_ms: the time.
+          held: indexes of the chunks that are held already.
+          policy: settings of the swarm.
+          now_ms: the current time.
           rng: breaks ties.
-          origin_after_ms: wait before the origin is drawn from, for a version
-            that neighbours are likely to hold.
+          origin_after_ms: wait before the first fetch from the origin, for a
+            version that neighbours are likely to hold.
         """
         self._vm_id = vm_id
         self._count = len(chunk_digests)
@@ -203,12 +219,12 @@
         self._ranks: list[int] = [0] * len(self._group_keys)
         self._is_root = False
         self._started_ms: float = now_ms
-        self._entered_ms: dict[int, float] = {}
+        self._window_entry_ms: dict[int, float] = {}
         self._progress_ms: float = now_ms
         self._origin_failed_ms = float("-inf")
         self._origin_not_before_ms = now_ms + origin_after_ms
-        self._new_held: list[int] = sorted(held)
-        self._new_seen: list[int] = []
+        self._unsent_held: list[int] = sorted(held)
+        self._unsent_seen: list[int] = []
         self._near: frozenset[str] | None = None
         self._import_ranks: list[int] = [0] * len(self._group_keys)
         self._seen_ms: dict[int, float] = {}
@@ -222,7 +238,7 @@
 
     @property
     def settled(self) -> bool:
-        """Whether this VM and every neighbour hold every chunk."""
+        """Whether this VM and all neighbours but relays hold every chunk."""
         return self.complete and all(
             len(peer.held) == self._count
             for peer_id, peer in self._peers.items()
@@ -231,38 +247,39 @@
 
     @property
     def held(self) -> set[int]:
-        """Chunks held."""
+        """Indexes of the chunks that this VM holds."""
         return self._held
 
     def stands_still(self, now_ms: clock.Millis) -> bool:
-        """Returns whether no chunk has arrived for a while."""
+        """Returns whether no new chunk has arrived for `STANDSTILL_MS`."""
         return now_ms - self._progress_ms > STANDSTILL_MS
 
     def missing(self) -> list[tuple[int, int]]:
-        """Returns chunks not held, each with its neighbours that hold it."""
+        """Returns each chunk not held, with its number of known holders."""
         return [(index, self._holders[index]) for index in sorted(self._needed)]
 
     @property
     def seen(self) -> set[int]:
-        """Chunks known to be held by any VM."""
+        """Indexes of the chunks that at least one VM is known to hold."""
         return self._seen
 
     @property
     def peer_ids(self) -> list[ids.VmId]:
-        """Neighbours known."""
+        """IDs of the known neighbours."""
         return list(self._peers)
 
     def set_members(self, vm_ids: Sequence[ids.VmId]) -> None:
-        """Takes the VMs that fetch this manifest, to rank origin fetchers."""
+        """Sets the VMs that fetch this manifest, and ranks them as fetchers."""
         members = set(vm_ids) | {self._vm_id}
         self._is_root = self._vm_id == min(members)
         self._ranks = self._ranks_among(self._group_keys, members)
 
     def set_near(self, vm_ids: Sequence[ids.VmId]) -> None:
-        """Takes the members of the own region, itself included.
+        """Sets the VMs of the own region; the own VM is added to them.
 
-        From then on each chunk is brought into the region by one of them and
-        fetched within it by the others: links between regions are scarce.
+        From then on, one of these VMs fetches each chunk from other regions and
+        the others fetch it within the region, because links between regions
+        have little capacity.
         """
         near = {*vm_ids, self._vm_id}
         self._near = frozenset(near)
@@ -270,24 +287,24 @@
         self._import_ranks = self._ranks_among(keys, near)
 
     def set_relays(self, vm_ids: Collection[str]) -> None:
-        """Takes the relays that work: VMs that hold chunks for those near.
+        """Sets the working relays, which hold chunks for the VMs near them.
 
-        While there are any, chunks come from them first, and they alone bring
-        them from the origin and from other regions.
+        While there are relays, this VM requests chunks from them first, and
+        only relays fetch chunks from the origin and from other regions.
         """
         self._relays = frozenset(vm_ids)
 
     def _ranks_among(
         self, keys: Sequence[str], members: set[ids.VmId]
     ) -> list[int]:
-        """Returns the own place in the order of each key."""
+        """Returns the own rank in the rendezvous order of each key."""
         orders = rendezvous.balanced_orders(keys, members)
         return [ordered.index(self._vm_id) for ordered in orders]
 
     def peer_holds(
         self, peer_id: ids.VmId, indexes: Sequence[int], seen: Sequence[int]
     ) -> None:
-        """Records chunks that a neighbour holds or has seen."""
+        """Records the chunks that a neighbour holds, and those it has seen."""
         peer = self._peers.setdefault(peer_id, Peer(set(), in_flight={}))
         for index in indexes:
             if 0 <= index < self._count and index not in peer.held:
@@ -299,7 +316,7 @@
                 self._mark_seen(index)
 
     def peer_reset(self, peer_id: ids.VmId) -> None:
-        """Forgets what a neighbour holds, before it tells anew."""
+        """Clears the chunks of a neighbour, before it announces all of them."""
         peer = self._peers.get(peer_id)
         if peer is None:
             return
@@ -308,7 +325,7 @@
         peer.held.clear()
 
     def peer_lost(self, peer_id: ids.VmId) -> None:
-        """Forgets a neighbour; its chunk in flight is asked for elsewhere."""
+        """Removes a neighbour; its chunks in flight are requested elsewhere."""
         self.peer_reset(peer_id)
         peer = self._peers.pop(peer_id, None)
         if peer is not None:
@@ -322,13 +339,20 @@
         valid: bool,
         now_ms: clock.Millis,
     ) -> None:
-        """Records a chunk that arrived, from a neighbour or the origin."""
+        """Records a chunk that arrived.
+
+        Args:
+          index: index of the chunk.
+          peer_id: neighbour that sent it, None for the origin.
+          valid: whether the digest of the chunk matches.
+          now_ms: the current time.
+        """
         if peer_id is None:
             self._from_origin.pop(index, None)
         else:
-            self._peer_answered(peer_id, index, now_ms)
+            self._record_answer(peer_id, index, now_ms)
             if not valid:
-                self._distrust(peer_id)
+                self._record_corrupt_chunk(peer_id)
         if not valid:
             self._drop_fetch(index)
             return
@@ -338,13 +362,13 @@
         self._needed.discard(index)
         self._held.add(index)
         self._mark_seen(index)
-        self._new_held.append(index)
+        self._unsent_held.append(index)
         self._progress_ms = now_ms
 
     def refused(
         self, index: int, peer_id: ids.VmId, now_ms: clock.Millis
     ) -> None:
-        """Records that a neighbour cannot send a chunk now."""
+        """Records that a neighbour refused to send a chunk now."""
         peer = self._peers.get(peer_id)
         if peer is None or index not in peer.in_flight:
             return
@@ -355,20 +379,30 @@
     def origin_failed(
         self, index: int, retry_after_ms: float, now_ms: clock.Millis
     ) -> None:
-        """Records that the origin did not send a chunk."""
+        """Records that the origin did not send a chunk.
+
+        Args:
+          index: index of the chunk.
+          retry_after_ms: wait before the next fetch from the origin.
+          now_ms: the current time.
+        """
         self._from_origin.pop(index, None)
         self._drop_fetch(index)
         self._origin_failed_ms = now_ms
         self._origin_not_before_ms = now_ms + retry_after_ms
 
     def take_news(self) -> tuple[list[int], list[int]]:
-        """Returns chunks newly held and newly seen, to tell neighbours."""
-        held, seen = self._new_held, self._new_seen
-        self._new_held, self._new_seen = [], []
+        """Returns and clears the chunks to announce to neighbours.
+
+        Returns:
+          The chunks newly held, and the chunks newly seen.
+        """
+        held, seen = self._unsent_held, self._unsent_seen
+        self._unsent_held, self._unsent_seen = [], []
         return held, seen
 
     def next_actions(self, now_ms: clock.Millis) -> list[Action]:
-        """Returns the fetches to start and withdraw now."""
+        """Returns the fetches to start and to cancel now."""
         actions: list[Action] = []
         if len(self._seen_ms) < len(self._seen):
             self._seen_last_ms = now_ms
@@ -378,13 +412,13 @@
             return actions
         actions.extend(self._cancel_late(now_ms))
         actions.extend(self._fetch_from_relays(now_ms))
-        if not self._leans_on_relays(now_ms):
+        if not self._waits_for_relays(now_ms):
             actions.extend(self._fetch_from_origin(now_ms))
         actions.extend(self._fetch_from_peers(now_ms))
         return actions
 
-    def _leans_on_relays(self, now_ms: clock.Millis) -> bool:
-        """Returns whether relays bring chunks here that nobody near holds."""
+    def _waits_for_relays(self, now_ms: clock.Millis) -> bool:
+        """Returns whether to leave the origin and other regions to relays."""
         if not self._relays:
             return False
         return now_ms - self._progress_ms < RELAY_PATIENCE_MS
@@ -392,25 +426,25 @@
     def _mark_seen(self, index: int) -> None:
         if index not in self._seen:
             self._seen.add(index)
-            self._new_seen.append(index)
+            self._unsent_seen.append(index)
 
     def _drop_fetch(self, index: int) -> None:
         if index not in self._from_origin:
             self._fetching.discard(index)
 
-    def _peer_answered(
+    def _record_answer(
         self, peer_id: ids.VmId, index: int, now_ms: clock.Millis
     ) -> None:
         peer = self._peers.get(peer_id)
         if peer is None or index not in peer.in_flight:
             return
-        taken_ms = now_ms - peer.in_flight.pop(index)
+        elapsed_ms = now_ms - peer.in_flight.pop(index)
         if peer.pace_ms is None:
-            peer.pace_ms = taken_ms
+            peer.pace_ms = elapsed_ms
         else:
-            peer.pace_ms += PACE_SMOOTHING * (taken_ms - peer.pace_ms)
+            peer.pace_ms += PACE_SMOOTHING * (elapsed_ms - peer.pace_ms)
 
-    def _distrust(self, peer_id: ids.VmId) -> None:
+    def _record_corrupt_chunk(self, peer_id: ids.VmId) -> None:
         peer = self._peers.get(peer_id)
         if peer is None:
             return
@@ -429,8 +463,8 @@
             limit_ms = max(LATE_FLOOR_MS, LATE_FACTOR * pace_ms)
             late = [
                 index
-                for index, asked_ms in peer.in_flight.items()
-                if now_ms - asked_ms > limit_ms
+                for index, sent_ms in peer.in_flight.items()
+                if now_ms - sent_ms > limit_ms
             ]
             for index in late:
                 actions.append(CancelFetch(peer_id, index))
@@ -455,21 +489,21 @@
                 break
             if index not in self._needed or index in self._fetching:
                 continue
-            self._entered_ms.setdefault(index, now_ms)
-            if self._may_draw(index, now_ms):
+            self._window_entry_ms.setdefault(index, now_ms)
+            if self._may_fetch_from_origin(index, now_ms):
                 self._fetching.add(index)
                 self._from_origin[index] = now_ms
                 actions.append(FetchFromOrigin(index))
         return actions
 
     def _origin_in_flight_max(self) -> int:
-        """Returns how many chunks this VM may draw at once."""
+        """Returns how many chunks may be fetched from the origin at once."""
         usual = self._policy.origin_in_flight_max
         if 0 < self._count - len(self._seen) <= LAST_CHUNKS:
             return max(usual, LAST_IN_FLIGHT_MAX)
         return usual
 
-    def _may_draw(self, index: int, now_ms: clock.Millis) -> bool:
+    def _may_fetch_from_origin(self, index: int, now_ms: clock.Millis) -> bool:
         if self._policy.origin_use is OriginUse.EVERYONE:
             return True
         if self._policy.origin_use is OriginUse.ROOT:
@@ -482,7 +516,7 @@
             return True
         wait_ms = max(1, rank) * self._takeover_wait_ms()
         if index not in self._seen:
-            since_ms = max(self._entered_ms[index], self._origin_failed_ms)
+            since_ms = max(self._window_entry_ms[index], self._origin_failed_ms)
             return now_ms - since_ms > wait_ms
         if self._holders[index] > 0:
             return self._is_stuck(index, rank, now_ms)
@@ -490,16 +524,17 @@
         return now_ms - since_ms > wait_ms
 
     def _is_stuck(self, index: int, rank: int, now_ms: clock.Millis) -> bool:
-        """Returns whether a chunk's only holder passes it on too slowly."""
+        """Returns whether a chunk's only holder forwards it too slowly."""
         if self._holders[index] > 1 or self._policy.rare_wait_ms is None:
             return False
         seen_ms = self._seen_ms.get(index, now_ms)
         return now_ms - seen_ms > (1 + rank) * self._policy.rare_wait_ms
 
     def _takeover_wait_ms(self) -> float:
-        """Returns the wait per rank, never shorter than the pass is slow."""
-        # Up to the last progress only: a pass that stands still is not slow,
-        # and waits that grow as it stands would never end.
+        """Returns the wait per rank, which grows if chunks arrive slowly."""
+        # The time per chunk counts only up to the last progress: a transfer
+        # that is stalled is not slow, and a wait that grew during the stall
+        # would never end.
         elapsed_ms = self._seen_last_ms - self._started_ms
         per_chunk_ms = elapsed_ms / max(1, len(self._seen))
         window = self._policy.origin_window
@@ -512,7 +547,7 @@
         )
 
     def _fetch_from_relays(self, now_ms: clock.Millis) -> list[Action]:
-        """Asks relays, those that were asked for least first."""
+        """Requests chunks from relays, least loaded first."""
         relays = [
             (peer_id, peer)
             for peer_id, peer in self._peers.items()
@@ -525,12 +560,12 @@
         ]
         free.sort(key=lambda item: item[:2])
         room = RELAY_IN_FLIGHT_MAX - self._in_flight(self._relays)
-        return self._ask_each(
+        return self._request_from_each(
             [(peer_id, peer) for _, _, peer_id, peer in free], room, now_ms
         )
 
     def _fetch_from_peers(self, now_ms: clock.Millis) -> list[Action]:
-        """Asks neighbours, unless relays keep the own link busy."""
+        """Requests chunks from neighbours unless relays fill the own link."""
         if self._in_flight(self._relays) >= RELAY_IN_FLIGHT_MAX:
             return []
         free = [
@@ -541,26 +576,32 @@
         ]
         self._rng.shuffle(free)
         if self._near is not None:
-            # What only this VM is to bring into its region goes first.
+            # Chunks that this VM alone fetches into its region go first.
             free.sort(key=lambda item: item[0] in (self._near or ()))
         room = self._policy.in_flight_max - self._in_flight(self._peers)
-        return self._ask_each(free, room, now_ms)
+        return self._request_from_each(free, room, now_ms)
 
     def _in_flight(self, peer_ids: Collection[str]) -> int:
-        """Returns the chunks asked of some neighbours."""
+        """Returns the number of chunks in flight from the given neighbours."""
         return sum(
             len(peer.in_flight)
             for peer_id, peer in self._peers.items()
             if peer_id in peer_ids
         )
 
-    def _ask_each(
+    def _request_from_each(
         self,
         free: Sequence[tuple[ids.VmId, Peer]],
         room: int,
         now_ms: clock.Millis,
     ) -> list[Action]:
-        """Asks each for the rarest chunk it holds, for `room` at most."""
+        """Requests from each neighbour the rarest needed chunk that it holds.
+
+        Args:
+          free: neighbours that can receive a request, once per request.
+          room: maximum number of requests.
+          now_ms: the current time.
+        """
         actions: list[Action] = []
         for peer_id, peer in free:
             if len(actions) >= room:
@@ -576,16 +617,16 @@
     def _rarest(
         self, peer_id: ids.VmId, peer: Peer, now_ms: clock.Millis
     ) -> int | None:
-        wanted = (peer.held & self._needed) - self._fetching
+        candidates = (peer.held & self._needed) - self._fetching
         is_far = self._near is not None and peer_id not in self._near
         if is_far and peer_id not in self._relays:
-            if self._leans_on_relays(now_ms):
+            if self._waits_for_relays(now_ms):
                 return None
-            wanted = {i for i in wanted if self._may_import(i, now_ms)}
-        if not wanted:
+            candidates = {i for i in candidates if self._may_import(i, now_ms)}
+        if not candidates:
             return None
-        fewest = min(self._holders[index] for index in wanted)
-        rarest = [i for i in wanted if self._holders[i] == fewest]
+        fewest = min(self._holders[index] for index in candidates)
+        rarest = [i for i in candidates if self._holders[i] == fewest]
         return self._rng.choice(rarest)
 
     def _may_import(self, index: int, now_ms: clock.Millis) -> bool:
@@ -598,8 +639,9 @@
         )
         if holders > 1:
             return False
-        # The only near holder may have a link too slow for the whole region.
+        # A single holder in the region may have too slow a link to serve all
+        # of it.
         rank = self._import_ranks[index % len(self._group_keys)]
-        turn = rank + 2 * holders
+        rank_delay = rank + 2 * holders
         seen_ms = self._seen_ms.get(index, self._started_ms)
-        return now_ms - seen_ms >= turn * self._policy.import_takeover_ms
+        return now_ms - seen_ms >= rank_delay * self._policy.import_takeover_ms
--- a/tests/core/test_assembly.py
+++ b/tests/core/test_assembly.py
@@ -19,7 +19,9 @@
 
 
 @given(order=strategies.permutations(parts(6)))
-def test_any_order_gives_the_whole_answer(order: list[assembly.Part]) -> None:
+def test_parts_in_any_order_give_the_complete_answer(
+    order: list[assembly.Part],
+) -> None:
     answer = assembly.Assembly()
     delivered = [p for part in order for p in answer.add(part)]
     assert delivered == parts(6)
--- a/tests/core/test_rollout_limit.py
+++ b/tests/core/test_rollout_limit.py
@@ -5,7 +5,7 @@
 
 from marlramp.core import rollout_limit
 
-CALM = rollout_limit.Rollout(
+ROLLOUT = rollout_limit.Rollout(
     missing_bytes=2_000_000,
     origin_bytes=2_000_000,
     origin_bytes_per_s=800_000.0,
@@ -16,32 +16,32 @@
 )
 
 
-def test_the_narrowest_of_three_links_sets_the_limit() -> None:
+def test_slowest_of_three_links_sets_the_limit() -> None:
     own_link = rollout_limit.limit(
-        msgspec.structs.replace(CALM, relay_bytes_per_s=1e9)
+        msgspec.structs.replace(ROLLOUT, relay_bytes_per_s=1e9)
     )
     assert own_link.all_ms == pytest.approx(5_300.0)
     origin = rollout_limit.limit(
-        msgspec.structs.replace(CALM, origin_bytes_per_s=200_000.0)
+        msgspec.structs.replace(ROLLOUT, origin_bytes_per_s=200_000.0)
     )
     assert origin.first_ms == pytest.approx(10_300.0)
     others = rollout_limit.limit(
-        msgspec.structs.replace(CALM, up_bytes_per_s=180_000.0)
+        msgspec.structs.replace(ROLLOUT, up_bytes_per_s=180_000.0)
     )
     assert others.first_ms == pytest.approx(5_300.0)
     assert others.all_ms == pytest.approx(10_300.0)
 
 
-def test_what_others_hold_need_not_leave_the_origin() -> None:
+def test_rate_of_the_origin_does_not_limit_pieces_that_vms_hold() -> None:
     added = msgspec.structs.replace(
-        CALM, origin_bytes=0, origin_bytes_per_s=1.0, vms=10, holders=30
+        ROLLOUT, origin_bytes=0, origin_bytes_per_s=1.0, vms=10, holders=30
     )
     assert rollout_limit.limit(added).all_ms == pytest.approx(5_300.0)
 
 
-def test_fleet_of_any_size_has_the_limit_of_its_links() -> None:
+def test_limit_hardly_depends_on_the_size_of_the_fleet() -> None:
     times = [
-        rollout_limit.limit(msgspec.structs.replace(CALM, vms=vms)).all_ms
+        rollout_limit.limit(msgspec.structs.replace(ROLLOUT, vms=vms)).all_ms
         for vms in (10, 41, 136, 1_000)
     ]
     assert max(times) - min(times) < 500.0
--- a/tests/core/test_swarm_regions.py
+++ b/tests/core/test_swarm_regions.py
@@ -21,16 +21,18 @@
 
 
 def make(time: clock.ManualClock, rng: random.Random) -> swarm.Swarm:
-    made = swarm.Swarm(OWN, CHUNKS, set(), POLICY, time.now_ms(), rng, 1e9)
-    made.set_members([*NEAR, FAR])
-    made.set_near(NEAR)
-    return made
+    vm_swarm = swarm.Swarm(OWN, CHUNKS, set(), POLICY, time.now_ms(), rng, 1e9)
+    vm_swarm.set_members([*NEAR, FAR])
+    vm_swarm.set_near(NEAR)
+    return vm_swarm
 
 
-def fetched(made: swarm.Swarm, time: clock.ManualClock) -> dict[int, str]:
+def peer_fetches(
+    vm_swarm: swarm.Swarm, time: clock.ManualClock
+) -> dict[int, str]:
     return {
         action.index: action.peer_id
-        for action in made.next_actions(time.now_ms())
+        for action in vm_swarm.next_actions(time.now_ms())
         if isinstance(action, swarm.FetchFromPeer)
     }
 
@@ -38,85 +40,87 @@
 def test_one_vm_of_a_region_imports_a_chunk(
     time: clock.ManualClock, rng: random.Random
 ) -> None:
-    made = make(time, rng)
-    made.peer_holds(FAR, range(64), [])
-    wanted: set[int] = set()
+    vm_swarm = make(time, rng)
+    vm_swarm.peer_holds(FAR, range(64), [])
+    imported: set[int] = set()
     for _ in range(80):
-        for index in fetched(made, time):
-            wanted.add(index)
-            made.received(index, FAR, valid=True, now_ms=time.now_ms())
-    assert 10 < len(wanted) < 32
+        for index in peer_fetches(vm_swarm, time):
+            imported.add(index)
+            vm_swarm.received(index, FAR, valid=True, now_ms=time.now_ms())
+    assert 10 < len(imported) < 32
 
 
-def test_chunk_held_near_is_not_imported(
+def test_chunk_held_in_the_region_is_not_imported(
     time: clock.ManualClock, rng: random.Random
 ) -> None:
-    made = make(time, rng)
-    made.peer_holds(FAR, range(64), [])
-    made.peer_holds(NEAR[0], range(64), [])
-    assert set(fetched(made, time).values()) == {NEAR[0]}
+    vm_swarm = make(time, rng)
+    vm_swarm.peer_holds(FAR, range(64), [])
+    vm_swarm.peer_holds(NEAR[0], range(64), [])
+    assert set(peer_fetches(vm_swarm, time).values()) == {NEAR[0]}
 
 
-def test_import_is_taken_over_when_its_vm_is_away(
+def test_import_is_taken_over_when_its_vm_is_gone(
     time: clock.ManualClock, rng: random.Random
 ) -> None:
-    made = make(time, rng)
-    made.peer_holds(FAR, range(64), [])
-    for index in fetched(made, time):
-        made.received(index, FAR, valid=True, now_ms=time.now_ms())
+    vm_swarm = make(time, rng)
+    vm_swarm.peer_holds(FAR, range(64), [])
+    for index in peer_fetches(vm_swarm, time):
+        vm_swarm.received(index, FAR, valid=True, now_ms=time.now_ms())
     time.advance(2 * POLICY.import_takeover_ms)
-    missing = set(range(64)) - made.held
+    missing = set(range(64)) - vm_swarm.held
     while missing:
-        got = fetched(made, time)
-        assert got, missing
-        for index in got:
-            made.received(index, FAR, valid=True, now_ms=time.now_ms())
-        missing -= set(got)
+        imports = peer_fetches(vm_swarm, time)
+        assert imports, missing
+        for index in imports:
+            vm_swarm.received(index, FAR, valid=True, now_ms=time.now_ms())
+        missing -= set(imports)
 
 
-def test_dead_first_fetcher_is_replaced_though_the_pass_stands_still(
+def test_failed_first_fetcher_is_replaced_during_a_stall(
     time: clock.ManualClock, rng: random.Random
 ) -> None:
-    made = swarm.Swarm(OWN, CHUNKS, set(range(57)), POLICY, time.now_ms(), rng)
-    made.set_members([ids.VmId("dead")])
-    drawn: set[int] = set()
+    vm_swarm = swarm.Swarm(
+        OWN, CHUNKS, set(range(57)), POLICY, time.now_ms(), rng
+    )
+    vm_swarm.set_members([ids.VmId("dead")])
+    fetched: set[int] = set()
     for _ in range(300):
         time.advance(50.0)
-        for action in made.next_actions(time.now_ms()):
+        for action in vm_swarm.next_actions(time.now_ms()):
             if isinstance(action, swarm.FetchFromOrigin):
-                drawn.add(action.index)
-                made.received(
+                fetched.add(action.index)
+                vm_swarm.received(
                     action.index, None, valid=True, now_ms=time.now_ms()
                 )
-    assert drawn == set(range(57, 64))
+    assert fetched == set(range(57, 64))
 
 
-def test_no_more_chunks_are_asked_for_than_the_policy_says(
+def test_no_more_chunks_are_requested_than_the_policy_allows(
     time: clock.ManualClock, rng: random.Random
 ) -> None:
-    made = make(time, rng)
+    vm_swarm = make(time, rng)
     for peer in [ids.VmId(f"vm-{n}") for n in range(1, 12)]:
-        made.peer_holds(peer, range(64), [])
-    made.set_near([ids.VmId(f"vm-{n}") for n in range(1, 12)])
-    assert len(fetched(made, time)) == POLICY.in_flight_max
+        vm_swarm.peer_holds(peer, range(64), [])
+    vm_swarm.set_near([ids.VmId(f"vm-{n}") for n in range(1, 12)])
+    assert len(peer_fetches(vm_swarm, time)) == POLICY.in_flight_max
 
 
-def draws(made: swarm.Swarm, time: clock.ManualClock) -> list[int]:
+def origin_fetches(vm_swarm: swarm.Swarm, time: clock.ManualClock) -> list[int]:
     time.advance(swarm.ORIGIN_CHECK_MS)
     return [
         action.index
-        for action in made.next_actions(time.now_ms())
+        for action in vm_swarm.next_actions(time.now_ms())
         if isinstance(action, swarm.FetchFromOrigin)
     ]
 
 
-def test_last_chunks_are_drawn_together_once_the_origin_is_back(
+def test_last_chunks_are_fetched_together_after_an_outage_of_the_origin(
     time: clock.ManualClock, rng: random.Random
 ) -> None:
-    made = swarm.Swarm(OWN, CHUNKS, set(), POLICY, time.now_ms(), rng)
-    assert len(draws(made, time)) == 1
-    made.peer_holds(FAR, range(4, 64), [])
-    assert len(draws(made, time)) == 3
-    made.origin_failed(0, 200.0, time.now_ms())
+    vm_swarm = swarm.Swarm(OWN, CHUNKS, set(), POLICY, time.now_ms(), rng)
+    assert len(origin_fetches(vm_swarm, time)) == 1
+    vm_swarm.peer_holds(FAR, range(4, 64), [])
+    assert len(origin_fetches(vm_swarm, time)) == 3
+    vm_swarm.origin_failed(0, 200.0, time.now_ms())
     time.advance(200.0)
-    assert draws(made, time) == [0]
+    assert origin_fetches(vm_swarm, time) == [0]
--- a/tests/core/test_swarm_relays.py
+++ b/tests/core/test_swarm_relays.py
@@ -1,4 +1,4 @@
-"""A VM's choice of chunks while entries relay them."""
+"""Tests which chunks a VM requests while entries relay them."""
 
 from __future__ import annotations
 
@@ -16,96 +16,96 @@
 
 
 def make(time: clock.ManualClock, rng: random.Random) -> swarm.Swarm:
-    made = swarm.Swarm(
+    vm_swarm = swarm.Swarm(
         ids.VmId("vm-0"), CHUNKS, set(), POLICY, time.now_ms(), rng
     )
-    made.set_members([NEAR, FAR])
-    made.set_near([NEAR])
-    made.set_relays(RELAYS)
-    return made
+    vm_swarm.set_members([NEAR, FAR])
+    vm_swarm.set_near([NEAR])
+    vm_swarm.set_relays(RELAYS)
+    return vm_swarm
 
 
-def asked(made: swarm.Swarm, time: clock.ManualClock) -> list[str]:
+def peer_requests(vm_swarm: swarm.Swarm, time: clock.ManualClock) -> list[str]:
     return [
         action.peer_id
-        for action in made.next_actions(time.now_ms())
+        for action in vm_swarm.next_actions(time.now_ms())
         if isinstance(action, swarm.FetchFromPeer)
     ]
 
 
-def drawn(made: swarm.Swarm, time: clock.ManualClock) -> list[int]:
+def origin_fetches(vm_swarm: swarm.Swarm, time: clock.ManualClock) -> list[int]:
     return [
         action.index
-        for action in made.next_actions(time.now_ms())
+        for action in vm_swarm.next_actions(time.now_ms())
         if isinstance(action, swarm.FetchFromOrigin)
     ]
 
 
-def test_neighbours_are_spared_while_relays_fill_the_link(
+def test_neighbours_get_no_requests_while_relays_fill_the_link(
     time: clock.ManualClock, rng: random.Random
 ) -> None:
-    made = make(time, rng)
+    vm_swarm = make(time, rng)
     for relay in RELAYS:
-        made.peer_holds(relay, range(64), [])
-    made.peer_holds(NEAR, range(64), [])
-    names = asked(made, time)
+        vm_swarm.peer_holds(relay, range(64), [])
+    vm_swarm.peer_holds(NEAR, range(64), [])
+    names = peer_requests(vm_swarm, time)
     assert len(names) == swarm.RELAY_IN_FLIGHT_MAX
-    # By turns, each relay once.
+    # Each relay gets at most one request.
     assert set(names) <= set(RELAYS)
     assert max(names.count(relay) for relay in RELAYS) == 1
 
 
-def test_neighbours_bring_what_relays_can_not(
+def test_chunks_that_relays_lack_are_requested_from_neighbours(
     time: clock.ManualClock, rng: random.Random
 ) -> None:
-    made = make(time, rng)
-    made.peer_holds(RELAYS[0], [0], [])
-    made.peer_holds(NEAR, [1, 2], [])
-    assert sorted(asked(made, time)) == [RELAYS[0], NEAR, NEAR]
+    vm_swarm = make(time, rng)
+    vm_swarm.peer_holds(RELAYS[0], [0], [])
+    vm_swarm.peer_holds(NEAR, [1, 2], [])
+    assert sorted(peer_requests(vm_swarm, time)) == [RELAYS[0], NEAR, NEAR]
 
 
-def test_relay_that_refuses_is_spared_and_neighbours_asked(
+def test_chunk_that_a_relay_refuses_is_requested_from_a_neighbour(
     time: clock.ManualClock, rng: random.Random
 ) -> None:
-    made = make(time, rng)
-    made.peer_holds(RELAYS[0], [0], [])
-    made.peer_holds(NEAR, [0], [])
-    assert asked(made, time) == [RELAYS[0]]
-    made.refused(0, RELAYS[0], time.now_ms())
-    assert asked(made, time) == [NEAR]
+    vm_swarm = make(time, rng)
+    vm_swarm.peer_holds(RELAYS[0], [0], [])
+    vm_swarm.peer_holds(NEAR, [0], [])
+    assert peer_requests(vm_swarm, time) == [RELAYS[0]]
+    vm_swarm.refused(0, RELAYS[0], time.now_ms())
+    assert peer_requests(vm_swarm, time) == [NEAR]
 
 
 def test_origin_and_other_regions_are_left_to_relays(
     time: clock.ManualClock, rng: random.Random
 ) -> None:
-    made = make(time, rng)
-    made.peer_holds(FAR, range(64), [])
-    assert asked(made, time) == []
+    vm_swarm = make(time, rng)
+    vm_swarm.peer_holds(FAR, range(64), [])
+    assert peer_requests(vm_swarm, time) == []
     time.advance(swarm.RELAY_PATIENCE_MS - 1.0)
-    assert drawn(made, time) == []
+    assert origin_fetches(vm_swarm, time) == []
 
 
-def test_vm_without_relays_draws_itself(
+def test_vm_without_relays_fetches_from_the_origin(
     time: clock.ManualClock, rng: random.Random
 ) -> None:
-    made = make(time, rng)
-    made.set_relays([])
-    assert drawn(made, time) != []
+    vm_swarm = make(time, rng)
+    vm_swarm.set_relays([])
+    assert origin_fetches(vm_swarm, time) != []
 
 
-def test_relays_that_bring_nothing_are_left_in_the_end(
+def test_vm_fetches_from_the_origin_after_the_relays_time_out(
     time: clock.ManualClock, rng: random.Random
 ) -> None:
-    made = make(time, rng)
+    vm_swarm = make(time, rng)
     time.advance(swarm.RELAY_PATIENCE_MS)
-    assert drawn(made, time) != []
+    assert origin_fetches(vm_swarm, time) != []
 
 
-def test_relays_hold_a_part_and_keep_nobody_from_being_settled(
+def test_vm_settles_although_relays_hold_only_a_part(
     time: clock.ManualClock, rng: random.Random
 ) -> None:
-    made = make(time, rng)
-    made.peer_holds(RELAYS[0], [0], [])
+    vm_swarm = make(time, rng)
+    vm_swarm.peer_holds(RELAYS[0], [0], [])
     for index in range(64):
-        made.received(index, None, valid=True, now_ms=time.now_ms())
-    assert made.settled
+        vm_swarm.received(index, None, valid=True, now_ms=time.now_ms())
+    assert vm_swarm.settled
