--- a/src/marlramp/core/guidance.py
+++ b/src/marlramp/core/guidance.py
@@ -1,4 +1,8 @@
-"""Which entries tell an agent what it needs to know."""
+"""Selects the entries that coordinate an agent.
+
+An agent's coordinators send it what it needs to know of the fleet: weights,
+engine, origin and neighbours.
+"""
 
 from __future__ import annotations
 
@@ -6,24 +10,29 @@
 from marlramp.core import rendezvous
 
 NEAR_GUIDES = 2
-"""Entries of its own cell that guide an agent: one more than is needed, so
-that the death of one delays nothing. If all entries guided all agents, a
-change would cost their product in messages."""
+"""Coordinators of an agent in its own cell. One would be enough; the second one
+keeps the failure of the other from delaying anything. If all entries
+coordinated all agents, each change would cost as many messages as the number of
+entries times the number of agents."""
 
 FAR_GUIDES = 1
-"""Entries elsewhere that guide an agent too, or of its cell if there is no
-elsewhere."""
+"""Further coordinators of an agent, in another region, or in its own cell if
+there is no other region."""
 
 
 def guides_of(vm_id: str, known: cells.Cells) -> list[str]:
-    """Returns the entries that guide an agent.
+    """Returns the entries that coordinate an agent.
 
-    Two are of its cell, and one is elsewhere, in case its region is cut off
-    from the store. Entries that know the same members come to the same answer.
+    Two of them are in the agent's cell. One is in another region, in case the
+    agent's region is cut off from the store. Entries that know the same members
+    compute the same coordinators.
 
     Args:
       vm_id: VM of the agent.
-      known: the cells.
+      known: the cells of the known members.
+
+    Returns:
+      The VMs of the coordinators, none if the agent has no cell.
     """
     cell = known.of_agent(vm_id)
     if cell is None:
--- a/src/marlramp/core/origin_turns.py
+++ b/src/marlramp/core/origin_turns.py
@@ -1,11 +1,13 @@
-"""When a piece that the origin did not send is looked for there again.
+"""Assigns retry slots to pieces that the origin did not send.
 
-Load pattern: the origin is away, and once it is back all entries that lack a
-piece want it at the same moment: pieces that share its link all come late, the
-first with the last. So the missing pieces take turns, each as long as a piece
-needs on that link. One of them looks at a time, in the order of the pieces, and
-the first that finds the origin back is followed by the next when it has left.
-Nobody has to tell the others: all know when the version was named.
+Load pattern: after an outage of the origin, all entries that lack a piece
+request it at once. Pieces that share the origin's link all arrive late, the
+first one together with the last. Therefore the missing pieces have slots in a
+rotation, and each slot lasts as long as a piece takes on that link. One piece
+is retried at a time, in the order of the pieces; after the first retry that
+succeeds, the next piece is requested when that piece has left the origin. The
+entries need no messages to agree on the slots, because all of them know when
+the version was named.
 """
 
 from __future__ import annotations
@@ -15,9 +17,9 @@
 import math
 
 RANK_PIECES = 4
-"""Pieces that leave the origin between the turn of an entry and that of the
-next in order for the same piece: its own, and three while it comes and is told
-of."""
+"""Slots between the retry of an entry and that of the next entry in the order
+for one piece: one in which the piece leaves the origin, and three in which it
+arrives and the entry announces it."""
 
 
 def next_turn_ms(
@@ -28,18 +30,18 @@
     after_ms: float,
     rank: int = 0,
 ) -> float:
-    """Returns when a piece has its next turn.
+    """Returns the time of a piece's next retry slot.
 
     Args:
-      index: the piece.
-      missing: pieces that nobody is known to hold, in their order.
-      piece_ms: time in which a piece leaves the origin.
-      named_ms: when the version was named; turns are counted from then.
-      after_ms: earliest time of the turn.
-      rank: entries that go before this one for the piece.
+      index: index of the piece.
+      missing: indexes of the pieces without a known holder, in ascending order.
+      piece_ms: time that a piece takes to leave the origin.
+      named_ms: when the version was named, which is the start of the rotation.
+      after_ms: earliest time of the slot before the delay by rank is added.
+      rank: number of entries that precede this one for the piece.
     """
-    place = bisect.bisect_left(missing, index)
-    first_ms = named_ms + place * piece_ms
-    round_ms = max(1, len(missing)) * piece_ms
-    rounds = math.ceil((after_ms - first_ms) / round_ms)
-    return first_ms + rounds * round_ms + rank * RANK_PIECES * piece_ms
+    position = bisect.bisect_left(missing, index)
+    first_ms = named_ms + position * piece_ms
+    cycle_ms = max(1, len(missing)) * piece_ms
+    cycles = math.ceil((after_ms - first_ms) / cycle_ms)
+    return first_ms + cycles * cycle_ms + rank * RANK_PIECES * piece_ms
--- a/src/marlramp/core/prober.py
+++ b/src/marlramp/core/prober.py
@@ -1,9 +1,10 @@
-"""Finds out which entries are down, at a cost that does not grow with them.
+"""Detects failed entries at a cost that does not grow with the fleet.
 
-Each entry asks a few others in turn whether they are there. One that does not
-answer is asked through others, since the way to it alone may be cut, and is
-suspected only if they get no answer either. All entries together ask each of
-them several times a second, however many there are.
+Each entry probes a few other entries in rotation. An entry that does not answer
+is probed indirectly, through other entries, because only the path from this
+entry to it may be interrupted. It is suspected only if the indirect probes get
+no answer either. All entries together probe each entry several times a second,
+whatever the number of entries.
 """
 
 from __future__ import annotations
@@ -19,60 +20,67 @@
 from marlramp.core import roster
 
 PROBE_MS = 400.0
-"""Between two rounds of questions."""
+"""Time between two cycles of probes."""
 
 NEAR_PROBES = 2
-"""Entries of the own region asked in a round: each of them is then asked five
-times a second in all, so that a silent one is noticed within 0.2 s."""
+"""Entries of the own region that are probed in a cycle. Each entry then gets
+five probes a second in all, so that a silent entry is noticed within 0.2 s."""
 
 FAR_PROBES = 1
-"""Entries of other regions asked in every second round: they find a region
-that is cut off, and compare rosters across regions."""
+"""Entries of other regions that are probed in every second cycle. These probes
+detect a region that is cut off, and compare rosters across regions."""
 
 EXTRA_PROBES_MAX = 8
-"""More entries asked in a round while some do not answer: when many go at once
-the few that are left would need seconds to find out about all of them."""
+"""Additional entries that are probed in a cycle while some do not answer. When
+many entries fail at once, the few that are left would otherwise need seconds to
+detect all failures."""
 
 CONFIRM_MS = 300.0
-"""A suspected entry that did not contradict for this long is asked by each
-entry itself, before that takes it as down."""
+"""Time without a contradiction from a suspected entry after which every other
+entry probes it directly, before treating it as down."""
 
 LOOK_FOR_MS = 1_000.0
-"""Between two questions to entries that are down, which may be back."""
+"""Time between two probes of entries that are down, to detect recoveries."""
 
 DIRECT_MS = 400.0
-"""Time to answer before others are asked: a link on which packets wait that
-long serves no callers in time either."""
+"""Time without an answer to a direct probe after which indirect probes start. A
+link on which packets wait this long does not serve callers in time either."""
 
 INDIRECT_MS = 400.0
-"""Time in which others are to get an answer."""
+"""Time within which an indirect probe must be answered."""
 
 HELPERS = 3
-"""Entries through which a silent one is asked."""
+"""Number of entries through which a silent entry is probed."""
 
 PAUSED_MS = 1_000.0
-"""Two looks this far apart show that this process itself stood still; what it
-waited for then proves nothing."""
+"""Time between two ticks that shows that this process itself was paused. Probes
+that were pending during the pause then prove nothing and are discarded."""
 
 DOUBTED_MAX = 16
-"""Entries that are down here but not to others and are asked in one look."""
+"""Maximum number of entries probed in one tick because this entry considers
+them down and others do not."""
 
 
 class Ask(msgspec.Struct, frozen=True):
-    """Ask an entry whether it is there."""
+    """Probe an entry directly."""
 
     vm_id: str
 
 
 class AskThrough(msgspec.Struct, frozen=True):
-    """Have others ask a silent entry."""
+    """Probe a silent entry through other entries.
+
+    Attributes:
+      vm_id: VM of the silent entry.
+      helpers: VMs of the entries that are to probe it.
+    """
 
     vm_id: str
     helpers: list[str]
 
 
 class Suspect(msgspec.Struct, frozen=True):
-    """Suspect an entry that nobody reaches."""
+    """Suspect an entry that answered neither direct nor indirect probes."""
 
     vm_id: str
 
@@ -80,15 +88,15 @@
 Action: TypeAlias = Ask | AskThrough | Suspect
 
 
-class _Open(msgspec.Struct):
-    """A question without an answer yet."""
+class _PendingProbe(msgspec.Struct):
+    """A probe that has not been answered yet."""
 
-    asked_ms: float
-    through_others: bool = False
+    sent_ms: float
+    indirect: bool = False
 
 
 class Prober:
-    """Decides whom to ask, and whom to suspect."""
+    """Decides which entries to probe and which to suspect."""
 
     def __init__(
         self,
@@ -96,104 +104,108 @@
         near: Collection[str],
         rng: random.Random,
     ) -> None:
-        """Asks entries in `known`.
+        """Starts without pending probes.
 
         Args:
-          known: the roster.
+          known: roster of the entries to probe.
           near: data centres of the own region.
-          rng: draws the order.
+          rng: randomises the order of the probes.
         """
         self._roster = known
         self._near = near
         self._rng = rng
-        self._open: dict[str, _Open] = {}
+        self._pending: dict[str, _PendingProbe] = {}
         self._confirming: dict[str, float] = {}
         self._unanswered = 0
-        self._turns: dict[bool, list[str]] = {True: [], False: []}
-        self._rounds = 0
-        self._round_ms = float("-inf")
-        self._looked_for_ms = float("-inf")
+        self._rotations: dict[bool, list[str]] = {True: [], False: []}
+        self._cycles = 0
+        self._cycle_ms = float("-inf")
+        self._down_probe_ms = float("-inf")
         self._tick_ms = float("-inf")
 
     def vouched(self, vm_id: str) -> None:
-        """Takes another entry's word that one is there."""
-        self._open.pop(vm_id, None)
+        """Records that an indirect probe of an entry was answered."""
+        self._pending.pop(vm_id, None)
 
     def tick(self, now_ms: clock.Millis) -> list[Action]:
-        """Returns what to do now."""
+        """Returns the probes to send and the entries to suspect now."""
         if now_ms - self._tick_ms > PAUSED_MS:
-            self._open.clear()
+            self._pending.clear()
         self._tick_ms = now_ms
         actions = self._follow_up(now_ms)
-        targets = self._doubted() + self._unconfirmed(now_ms)
-        if now_ms - self._round_ms >= PROBE_MS:
-            self._round_ms = now_ms
-            self._rounds += 1
+        targets = self._disputed() + self._unconfirmed(now_ms)
+        if now_ms - self._cycle_ms >= PROBE_MS:
+            self._cycle_ms = now_ms
+            self._cycles += 1
             targets.extend(self._next_targets(now_ms))
-        if now_ms - self._looked_for_ms >= LOOK_FOR_MS:
-            self._looked_for_ms = now_ms
-            targets.extend(self._lost())
+        if now_ms - self._down_probe_ms >= LOOK_FOR_MS:
+            self._down_probe_ms = now_ms
+            targets.extend(self._down_entry())
         for vm_id in targets:
-            if vm_id not in self._open:
-                self._open[vm_id] = _Open(now_ms)
+            if vm_id not in self._pending:
+                self._pending[vm_id] = _PendingProbe(now_ms)
                 actions.append(Ask(vm_id))
         return actions
 
     def _follow_up(self, now_ms: clock.Millis) -> list[Action]:
-        """Ends questions that were answered or waited for long enough."""
+        """Ends answered probes, and escalates those without an answer."""
         actions: list[Action] = []
-        for vm_id, question in list(self._open.items()):
+        for vm_id, probe in list(self._pending.items()):
             record = self._roster.get(vm_id)
-            if record is None or record.heard_ms >= question.asked_ms:
-                del self._open[vm_id]
+            if record is None or record.heard_ms >= probe.sent_ms:
+                del self._pending[vm_id]
                 continue
-            waited_ms = now_ms - question.asked_ms
-            if waited_ms >= DIRECT_MS and not question.through_others:
+            waited_ms = now_ms - probe.sent_ms
+            if waited_ms >= DIRECT_MS and not probe.indirect:
                 self._unanswered += 1
             if waited_ms >= DIRECT_MS + INDIRECT_MS:
-                del self._open[vm_id]
+                del self._pending[vm_id]
                 actions.append(Suspect(vm_id))
-            elif waited_ms >= DIRECT_MS and not question.through_others:
-                question.through_others = True
+            elif waited_ms >= DIRECT_MS and not probe.indirect:
+                probe.indirect = True
                 helpers = self._helpers(vm_id)
                 if helpers:
                     actions.append(AskThrough(vm_id, helpers))
         return actions
 
     def _next_targets(self, now_ms: clock.Millis) -> list[str]:
-        """Returns the entries whose turn it is; near ones make up for far."""
+        """Returns the next entries to probe.
+
+        If there are fewer entries to probe in the own region than planned,
+        entries of other regions are probed instead.
+        """
         extra = min(EXTRA_PROBES_MAX, self._unanswered)
         self._unanswered = 0
         near_count = NEAR_PROBES + extra // 2
-        near = self._take(near_count, now_ms, near=True)
-        far_count = FAR_PROBES if self._rounds % 2 else 0
+        near = self._next_in_rotation(near_count, now_ms, near=True)
+        far_count = FAR_PROBES if self._cycles % 2 else 0
         far_count += near_count - len(near) + extra // 2
-        return near + self._take(far_count, now_ms, near=False)
+        return near + self._next_in_rotation(far_count, now_ms, near=False)
 
-    def _take(
+    def _next_in_rotation(
         self, count: int, now_ms: clock.Millis, *, near: bool
     ) -> list[str]:
-        """Takes entries in turn, without those just heard."""
-        taken: list[str] = []
-        turns = self._turns[near]
+        """Returns entries in rotation, without those heard from recently."""
+        selected: list[str] = []
+        rotation = self._rotations[near]
         refilled = False
-        while len(taken) < count:
-            if not turns:
+        while len(selected) < count:
+            if not rotation:
                 if refilled:
                     break
                 refilled = True
-                turns.extend(self._candidates(near=near))
-                self._rng.shuffle(turns)
+                rotation.extend(self._candidates(near=near))
+                self._rng.shuffle(rotation)
                 continue
-            vm_id = turns.pop()
+            vm_id = rotation.pop()
             record = self._roster.get(vm_id)
-            if record is None or vm_id in taken:
+            if record is None or vm_id in selected:
                 continue
             if record.news.state is members.MemberState.DOWN:
                 continue
             if now_ms - record.heard_ms >= PROBE_MS:
-                taken.append(vm_id)
-        return taken
+                selected.append(vm_id)
+        return selected
 
     def _candidates(self, *, near: bool) -> list[str]:
         return [
@@ -203,42 +215,43 @@
             and (record.news.member.data_centre in self._near) is near
         ]
 
-    def _doubted(self) -> list[str]:
-        doubted = sorted(self._roster.doubted)[:DOUBTED_MAX]
-        self._roster.doubted.difference_update(doubted)
-        return doubted
+    def _disputed(self) -> list[str]:
+        """Returns entries that are down here but not to others."""
+        disputed = sorted(self._roster.doubted)[:DOUBTED_MAX]
+        self._roster.doubted.difference_update(disputed)
+        return disputed
 
     def _unconfirmed(self, now_ms: clock.Millis) -> list[str]:
-        """Returns suspects that are to be asked once before they are down."""
+        """Returns suspects to probe once before they are treated as down."""
         suspects = {
             record.news.vm_id: record.since_ms
             for record in self._entries()
             if record.news.state is members.MemberState.SUSPECT
             and now_ms - record.since_ms >= CONFIRM_MS
         }
-        new = [
+        unprobed = [
             vm_id
             for vm_id, since_ms in suspects.items()
             if self._confirming.get(vm_id) != since_ms
         ]
         self._confirming = suspects
-        return new
+        return unprobed
 
-    def _lost(self) -> list[str]:
-        """Returns one entry that is down, to find it when it is back."""
-        lost = [
+    def _down_entry(self) -> list[str]:
+        """Returns one entry that is down, to detect its recovery."""
+        down = [
             record.news.vm_id
             for record in self._entries()
             if record.news.state is members.MemberState.DOWN
         ]
-        return [self._rng.choice(lost)] if lost else []
+        return [self._rng.choice(down)] if down else []
 
     def _helpers(self, vm_id: str) -> list[str]:
         others = [
             record.news.vm_id
             for record in self._entries()
             if record.news.vm_id != vm_id
-            and record.news.vm_id not in self._open
+            and record.news.vm_id not in self._pending
             and record.news.state is members.MemberState.READY
         ]
         return self._rng.sample(others, min(HELPERS, len(others)))
--- a/src/marlramp/core/relay_duty.py
+++ b/src/marlramp/core/relay_duty.py
@@ -1,15 +1,17 @@
-"""Which pieces an entry holds for the agents near it, and where from.
-
-Load pattern: a version is named and all agents of a region lack all of its
-pieces at the same moment. Links of engines' VMs are narrow and carry the events
-of live answers too; links of entries are wide. So each piece has one entry in
-each cell that holds it for the cell's agents. The first of those entries in the
-whole fleet draws it from the origin, the first of each other region takes it
-from there, and the others from the first of their region: one copy leaves the
-origin, one crosses into each region, and an entry holds a part of a version.
-
-Every entry computes the same from the members it knows. Where views differ for
-a while a piece is held twice, or drawn by the next in order after a wait.
+"""Assigns the pieces of a version to entries, which relay them to agents.
+
+Load pattern: when a version is named, all agents of a region lack all of its
+pieces at once. The links of engines' VMs are narrow and also carry the events
+of live answers; the links of entries are wide. Therefore one entry of each cell
+holds each piece for the agents of the cell. The first of these entries in the
+rendezvous order of the whole fleet fetches the piece from the origin, the first
+of each other region fetches it from that entry, and the remaining entries fetch
+it from the first of their region. One copy leaves the origin, one copy crosses
+into each region, and each entry holds only a part of a version.
+
+Entries that know the same members compute the same assignments. While their
+views differ, a piece may be held twice, or the next entry in the order fetches
+it from the origin after a wait.
 """
 
 from __future__ import annotations
@@ -23,11 +25,11 @@
 
 
 class Place(msgspec.Struct, frozen=True):
-    """Where an entry is.
+    """Location of an entry.
 
     Attributes:
-      region: its region.
-      cell: name of its cell.
+      region: region of the entry.
+      cell: name of the entry's cell.
     """
 
     region: str
@@ -35,12 +37,15 @@
 
 
 class Duty(msgspec.Struct, frozen=True):
-    """A piece that an entry holds for others.
+    """Assignment of one piece to an entry, and the sources of the piece.
 
     Attributes:
-      rank: entries that are to draw it from the origin before this one.
-      near: the entry of the own region to ask first, None if that is this one.
-      far: entries of other regions that hold it, the first to ask in front.
+      rank: number of entries that precede this one in fetching the piece from
+        the origin.
+      near: entry of the own region to request the piece from first, None if
+        that is this entry.
+      far: entries of other regions that hold the piece, in the order in which
+        to request it from them.
     """
 
     rank: int
@@ -49,42 +54,44 @@
 
     @property
     def sources(self) -> tuple[str, ...]:
-        """All entries to ask."""
+        """All entries that the piece can be requested from, in order."""
         return self.far if self.near is None else (self.near, *self.far)
 
 
 def duties(
-    own: str, places: Mapping[str, Place], keys: Sequence[str]
+    own: str, locations: Mapping[str, Place], keys: Sequence[str]
 ) -> dict[int, Duty]:
-    """Returns the pieces that an entry is to hold.
+    """Returns the assignments of an entry, by the index of the piece.
 
     Args:
-      own: the entry; it is among `places`.
-      places: place of each entry that takes part.
-      keys: digest of each piece.
+      own: the entry; must be a key of `locations`.
+      locations: location of each entry that relays pieces.
+      keys: digest of each piece, in the order of the pieces.
     """
-    cell = places[own].cell
-    mates = [name for name, place in places.items() if place.cell == cell]
+    cell = locations[own].cell
+    cell_members = [
+        name for name, location in locations.items() if location.cell == cell
+    ]
     found = {}
     for index, key in enumerate(keys):
-        if rendezvous.order(key, mates)[0] == own:
-            found[index] = _duty(own, places, key)
+        if rendezvous.order(key, cell_members)[0] == own:
+            found[index] = _assignment(own, locations, key)
     return found
 
 
-def _duty(own: str, places: Mapping[str, Place], key: str) -> Duty:
-    """Returns the duty of an entry that holds a piece for its cell."""
+def _assignment(own: str, locations: Mapping[str, Place], key: str) -> Duty:
+    """Returns the assignment of an entry that holds a piece for its cell."""
     first_of_region: dict[str, str] = {}
     first_of_cell: dict[str, str] = {}
-    for name in rendezvous.order(key, places):
-        place = places[name]
-        first_of_region.setdefault(place.region, name)
-        first_of_cell.setdefault(place.cell, name)
+    for name in rendezvous.order(key, locations):
+        location = locations[name]
+        first_of_region.setdefault(location.region, name)
+        first_of_cell.setdefault(location.cell, name)
     firsts = list(first_of_region.values())
-    near = first_of_region[places[own].region]
-    drawers = dict.fromkeys([*firsts, *first_of_cell.values()])
+    near = first_of_region[locations[own].region]
+    fetchers = dict.fromkeys([*firsts, *first_of_cell.values()])
     return Duty(
-        rank=list(drawers).index(own),
+        rank=list(fetchers).index(own),
         near=None if near == own else near,
         far=tuple(name for name in firsts if name != near),
     )
--- a/src/marlramp/core/relay_fetch.py
+++ b/src/marlramp/core/relay_fetch.py
@@ -1,10 +1,11 @@
-"""When an entry asks for a piece that it holds for others, and whom.
-
-Load pattern: the origin's link carries one copy in seconds, and whoever draws
-at once shares it. So pieces leave it in their order, each at the time at which
-those before it have left; the first pieces are then with the agents while the
-last still leave. After a fault of the origin nothing is drawn twice that
-another entry already has.
+"""Decides when, and from which source, an entry fetches the pieces it relays.
+
+Load pattern: the origin's link carries one copy of a version in seconds, and
+concurrent fetches share this link. Therefore the pieces leave the origin in
+their order, and each is requested at the time at which those before it have
+left. The agents then have the first pieces while the last ones still leave the
+origin. After an outage of the origin, no piece that another entry already holds
+is fetched from the origin again.
 """
 
 from __future__ import annotations
@@ -22,69 +23,80 @@
 from marlramp.core import relay_duty
 
 DRAWS_MAX = 2
-"""Pieces that one entry draws at once while they leave the origin in order."""
+"""Pieces that one entry fetches from the origin at once while the pieces leave
+it in order."""
 
 LATE_DRAWS_MAX = 4
-"""The same once all of them should have left: the origin was away, and its link
-would stand idle while one entry draws several in turn."""
+"""Pieces that one entry fetches from the origin at once after the time at which
+all pieces should have left it. The origin was then unavailable, and its link
+would be idle between the fetches of an entry that fetches one after another."""
 
 CONNECTIONS_SHARE = 0.5
-"""Part of the connections that the origin takes which all entries together may
-open: what is beyond its bound is reset, and tried again later than the rest."""
+"""Fraction of the origin's connections that all entries together may open. The
+origin resets connections beyond its limit, and the pieces that they were to
+carry are retried later than the others."""
 
 ASKS_MAX = 4
-"""Pieces asked of other entries at once."""
+"""Pieces that are requested from other processes at once."""
 
 FAR_ASKS_MAX = 2
-"""The same of entries of other regions: what all entries of a region ask for at
-once waits on one link, and live answers wait behind it."""
+"""Pieces that are requested from entries of other regions at once. What all
+entries of a region request at once queues on one link, and live answers queue
+behind it."""
 
 TAKEOVER_MS = 500.0
-"""Wait per rank before another entry draws a piece: the way of a piece through
-the origin's link when it is shared, and of the news of it."""
+"""Wait per rank before another entry fetches a piece from the origin. It covers
+the transfer of the piece over the shared link of the origin, and the
+announcement of the piece by the entry that fetched it."""
 
 AWAY_TAKEOVER_MS = 6_000.0
-"""The same while the origin answers nobody: those that go first look for it all
-the time, and what both draw when it is back comes later to all."""
+"""Wait per rank before another entry fetches a piece while the origin does not
+answer. The entries that precede it retry all the time, and pieces that several
+entries fetch once the origin has recovered delay all other pieces."""
 
 TURNS_AFTER = 2
-"""Draws of a piece in a row without an answer after which the missing pieces
-take turns: a connection that the origin reset is tried again sooner."""
+"""Consecutive fetches of one piece without an answer after which the missing
+pieces are retried in slots. Up to this number, the cause may be a connection
+that the origin reset, and the fetch is retried sooner."""
 
 NEW_MS = 2_000.0
-"""A version named this lately is held by no other entry from before."""
+"""A version that was named less than this time ago is new: no other entry holds
+it from before."""
 
 HELLO_MS = 150.0
-"""Wait of an entry before it draws a version that others may hold already and
-an agent lacks: the way of its question to them and back."""
+"""Wait before an entry fetches a version from the origin that other entries may
+hold already and that an agent lacks. It covers the round trip of a query to
+those entries."""
 
 UNASKED_MS = 3_000.0
-"""The same while no agent lacks it: those that hold it have told by then, and
-nothing leaves the origin."""
+"""Wait before an entry fetches a version from the origin that other entries may
+hold already and that no agent is known to lack. The holders have announced it
+by then, so that nothing leaves the origin."""
 
 LATE_MS = 700.0
-"""A piece that did not come from another entry in this time is asked for
+"""Time without a reply from another process after which a piece is requested
 elsewhere."""
 
 SPARED_MS = 1_000.0
-"""How long who was late, refused or sent wrong bytes is asked for nothing."""
+"""Time for which nothing is requested from a process that was late, refused a
+request or sent a corrupt piece."""
 
 
 class AskEntry(msgspec.Struct, frozen=True):
-    """Ask another process for a piece."""
+    """Request a piece from another process."""
 
     peer: str
     index: int
 
 
 class Draw(msgspec.Struct, frozen=True):
-    """Draw a piece from the origin."""
+    """Fetch a piece from the origin."""
 
     index: int
 
 
 class Cancel(msgspec.Struct, frozen=True):
-    """Give up a piece that was asked for."""
+    """Cancel the request for a piece that is late."""
 
     index: int
 
@@ -92,13 +104,13 @@
 Action: TypeAlias = AskEntry | Draw | Cancel
 
 
-class _Ask(msgspec.Struct, frozen=True):
+class _Request(msgspec.Struct, frozen=True):
     peer: str
-    asked_ms: float
+    sent_ms: float
 
 
 class RelayFetch:
-    """The pieces of one version that one entry holds for others."""
+    """Fetch state of the pieces of one version that an entry relays."""
 
     def __init__(
         self,
@@ -107,103 +119,107 @@
         age_ms: float | None,
         now_ms: clock.Millis,
     ) -> None:
-        """Has no duty before `set_duties`.
+        """Starts without assignments, until `set_duties` is called.
 
         Args:
-          piece_ms: time in which a piece leaves the origin.
-          connections: connections that the origin takes in all.
+          piece_ms: time that a piece takes to leave the origin.
+          connections: number of connections that the origin accepts in total.
           age_ms: time since the version was named, None if it is not known.
-          now_ms: the time.
+          now_ms: the current time.
         """
         self._piece_ms = piece_ms
         self._connections = connections
         self._named_ms = now_ms if age_ms is None else now_ms - age_ms
         is_new = age_ms is not None and age_ms < NEW_MS
-        self._first_draw_ms: float = now_ms + (0.0 if is_new else UNASKED_MS)
+        self._first_fetch_ms: float = now_ms + (0.0 if is_new else UNASKED_MS)
         self._entries = 1
-        self._duties: Mapping[int, relay_duty.Duty] = {}
+        self._assignments: Mapping[int, relay_duty.Duty] = {}
         self._held: set[int] = set()
         self._holders: dict[int, set[str]] = {}
-        self._asks: dict[int, _Ask] = {}
-        self._draws: set[int] = set()
-        self._spared_until_ms: dict[str, float] = {}
+        self._requests: dict[int, _Request] = {}
+        self._origin_fetches: set[int] = set()
+        self._backoff_until_ms: dict[str, float] = {}
         self._origin_not_before_ms = float("-inf")
         self._origin_failed_ms = float("-inf")
         self._failures: collections.Counter[int] = collections.Counter()
-        self._turns_ms: dict[int, float] = {}
-        self._news_ms = float("-inf")
+        self._slots_ms: dict[int, float] = {}
+        self._update_ms = float("-inf")
 
     @property
     def complete(self) -> bool:
-        """Whether all pieces of the duties are held."""
-        return self._duties.keys() <= self._held
+        """Whether all assigned pieces are held."""
+        return self._assignments.keys() <= self._held
 
     @property
     def sources(self) -> set[str]:
-        """Entries that hold pieces of the duties too."""
-        return {s for duty in self._duties.values() for s in duty.sources}
+        """Entries that the assigned pieces can be requested from."""
+        return {
+            s
+            for assignment in self._assignments.values()
+            for s in assignment.sources
+        }
 
     def hurry(self, now_ms: clock.Millis) -> None:
-        """Records that an agent lacks the version."""
-        self._first_draw_ms = min(self._first_draw_ms, now_ms + HELLO_MS)
+        """Records that an agent lacks the version, which shortens the wait."""
+        self._first_fetch_ms = min(self._first_fetch_ms, now_ms + HELLO_MS)
 
     def set_duties(
-        self, found: Mapping[int, relay_duty.Duty], entries: int
+        self, assignments: Mapping[int, relay_duty.Duty], entries: int
     ) -> None:
-        """Takes the duties, which change with the members.
+        """Sets the assignments, which change with the members.
 
         Args:
-          found: the duties.
-          entries: entries that have duties, this one among them.
+          assignments: the assignments of this entry, by the index of the piece.
+          entries: number of entries that have assignments, including this one.
         """
-        self._duties = found
+        self._assignments = assignments
         self._entries = entries
 
     def peer_holds(
         self, peer: str, indexes: Collection[int], now_ms: clock.Millis
     ) -> None:
-        """Takes pieces that another process holds."""
+        """Records pieces that another process holds."""
         for index in indexes:
             holders = self._holders.setdefault(index, set())
             if not holders:
-                self._news_ms = now_ms
+                self._update_ms = now_ms
             holders.add(peer)
 
     def peer_lost(self, peer: str) -> None:
-        """Forgets another process."""
+        """Removes a process that is lost, and the requests sent to it."""
         for holders in self._holders.values():
             holders.discard(peer)
-        for index, ask in list(self._asks.items()):
-            if ask.peer == peer:
-                del self._asks[index]
+        for index, request in list(self._requests.items()):
+            if request.peer == peer:
+                del self._requests[index]
 
     def held(self, index: int, now_ms: clock.Millis) -> None:
-        """Takes a piece that is held now."""
+        """Records that this entry now holds a piece."""
         self._held.add(index)
-        self._asks.pop(index, None)
-        self._turns_ms.pop(index, None)
-        if index in self._draws:
-            self._draws.discard(index)
-            self._news_ms = now_ms
+        self._requests.pop(index, None)
+        self._slots_ms.pop(index, None)
+        if index in self._origin_fetches:
+            self._origin_fetches.discard(index)
+            self._update_ms = now_ms
 
     def not_sent(
         self, index: int, peer: str | None, now_ms: clock.Millis
     ) -> None:
-        """Records that a piece did not come, or came wrong.
+        """Records that a piece did not arrive, or arrived corrupt.
 
         Args:
-          index: the piece.
-          peer: who was asked, None for the origin.
-          now_ms: the time.
+          index: index of the piece.
+          peer: process that it was requested from, None for the origin.
+          now_ms: the current time.
         """
         if peer is None:
-            self._draws.discard(index)
+            self._origin_fetches.discard(index)
             return
-        ask = self._asks.get(index)
-        if ask is not None and ask.peer == peer:
-            del self._asks[index]
-        self._spared_until_ms[peer] = now_ms + SPARED_MS
-        # It may be gone; if it is there it tells again what it holds.
+        request = self._requests.get(index)
+        if request is not None and request.peer == peer:
+            del self._requests[index]
+        self._backoff_until_ms[peer] = now_ms + SPARED_MS
+        # The process may be gone. If it is not, it announces its pieces again.
         self._holders.get(index, set()).discard(peer)
 
     def origin_failed(
@@ -213,143 +229,161 @@
         now_ms: clock.Millis,
         missing: Sequence[int] = (),
     ) -> None:
-        """Records that the origin did not answer a draw.
+        """Records that the origin did not answer a fetch.
 
         Args:
-          index: the piece.
-          retry_after_ms: pause before it is asked again.
-          now_ms: the time.
-          missing: pieces that nobody is known to hold, in their order; they
-            take turns unless none is given.
+          index: index of the piece.
+          retry_after_ms: wait before the next fetch from the origin.
+          now_ms: the current time.
+          missing: indexes of the pieces without a known holder, in ascending
+            order. They are retried in slots; if there are none, no slots are
+            assigned.
         """
-        self._draws.discard(index)
-        if not self._is_away:
+        self._origin_fetches.discard(index)
+        if not self._origin_is_down:
             self._failures.clear()
         self._failures[index] += 1
         self._origin_failed_ms = now_ms
         self._origin_not_before_ms = now_ms + retry_after_ms
-        self._turns_ms.pop(index, None)
+        self._slots_ms.pop(index, None)
         if missing:
-            self._take_turns(missing)
+            self._assign_slots(missing)
 
-    def _take_turns(self, missing: Sequence[int]) -> None:
-        """Gives pieces that are to be looked for their next turn.
+    def _assign_slots(self, missing: Sequence[int]) -> None:
+        """Assigns the pieces that are not held their next retry slots.
 
-        Those that others draw first get one anew with each failure, since the
-        wait of this entry begins with it.
+        Pieces that other entries fetch first get a new slot with each failure,
+        because the wait of this entry starts with the failure.
         """
-        takes_turns = max(self._failures.values()) > TURNS_AFTER
-        for index, duty in self._duties.items():
+        uses_slots = max(self._failures.values()) > TURNS_AFTER
+        for index, assignment in self._assignments.items():
             if index in self._held:
                 continue
-            if duty.rank == 0 and (index in self._turns_ms or not takes_turns):
+            if assignment.rank == 0 and (
+                index in self._slots_ms or not uses_slots
+            ):
                 continue
-            self._turns_ms[index] = origin_turns.next_turn_ms(
+            self._slots_ms[index] = origin_turns.next_turn_ms(
                 index,
                 missing,
                 self._piece_ms,
                 self._named_ms,
-                self._origin_not_before_ms + duty.rank * AWAY_TAKEOVER_MS,
-                duty.rank,
+                self._origin_not_before_ms + assignment.rank * AWAY_TAKEOVER_MS,
+                assignment.rank,
             )
 
     def next_actions(
         self, now_ms: clock.Millis, *, may_draw: bool = True
     ) -> list[Action]:
-        """Returns what to ask for and to give up now.
+        """Returns the requests to send and to cancel now.
 
         Args:
-          now_ms: the time.
-          may_draw: whether the version is worth the origin's time.
+          now_ms: the current time.
+          may_draw: whether the version may be fetched from the origin, because
+            it is the newest one or was requested recently.
         """
         actions = self._cancel_late(now_ms)
-        for index, duty in self._duties.items():
-            if index in self._held or index in self._asks:
+        for index, assignment in self._assignments.items():
+            if index in self._held or index in self._requests:
                 continue
-            peer = self._source(index, duty, now_ms)
+            peer = self._source(index, assignment, now_ms)
             if peer is not None:
-                if len(self._asks) < ASKS_MAX and index not in self._draws:
-                    self._asks[index] = _Ask(peer, now_ms)
+                if (
+                    len(self._requests) < ASKS_MAX
+                    and index not in self._origin_fetches
+                ):
+                    self._requests[index] = _Request(peer, now_ms)
                     actions.append(AskEntry(peer, index))
             elif self._holders.get(index):
-                # Others have it, and will send it in a moment.
+                # Another process holds the piece and can send it soon.
                 continue
-            elif may_draw and self._may_draw(index, duty, now_ms):
-                self._draws.add(index)
+            elif may_draw and self._may_fetch_from_origin(
+                index, assignment, now_ms
+            ):
+                self._origin_fetches.add(index)
                 actions.append(Draw(index))
         return actions
 
     def _cancel_late(self, now_ms: clock.Millis) -> list[Action]:
         late = [
             index
-            for index, ask in self._asks.items()
-            if now_ms - ask.asked_ms > LATE_MS
+            for index, request in self._requests.items()
+            if now_ms - request.sent_ms > LATE_MS
         ]
         for index in late:
-            self.not_sent(index, self._asks[index].peer, now_ms)
+            self.not_sent(index, self._requests[index].peer, now_ms)
         return [Cancel(index) for index in late]
 
     def _source(
-        self, index: int, duty: relay_duty.Duty, now_ms: clock.Millis
+        self, index: int, assignment: relay_duty.Duty, now_ms: clock.Millis
     ) -> str | None:
-        """Returns whom to ask for a piece, None if nobody has it."""
+        """Returns the process to request a piece from, None if there is none.
+
+        The entry of the own region comes first, then agents, then entries of
+        other regions.
+        """
         holders = self._holders.get(index, set())
-        near = [duty.near] if duty.near in holders else []
-        agents = sorted(holders.difference(duty.sources))
+        near = [assignment.near] if assignment.near in holders else []
+        agents = sorted(holders.difference(assignment.sources))
         if agents:
-            # By turns: each has a narrow link, and holds all pieces.
+            # Spreads requests over the agents: their links are narrow, and each
+            # of them holds all pieces.
             first = index % len(agents)
             agents = agents[first:] + agents[:first]
-        far = [name for name in duty.far if name in holders]
-        if now_ms < self._first_draw_ms or self._far_asks() >= FAR_ASKS_MAX:
+        far = [name for name in assignment.far if name in holders]
+        if (
+            now_ms < self._first_fetch_ms
+            or self._far_requests() >= FAR_ASKS_MAX
+        ):
             far = []
         for name in [*near, *agents, *far]:
-            if self._spared_until_ms.get(name, 0.0) <= now_ms:
+            if self._backoff_until_ms.get(name, 0.0) <= now_ms:
                 return name
         return None
 
-    def _far_asks(self) -> int:
-        """Returns the pieces under way from other regions."""
+    def _far_requests(self) -> int:
+        """Returns the number of pieces in flight from other regions."""
         return sum(
-            ask.peer in self._duties[index].far
-            for index, ask in self._asks.items()
-            if index in self._duties
+            request.peer in self._assignments[index].far
+            for index, request in self._requests.items()
+            if index in self._assignments
         )
 
-    def _may_draw(
-        self, index: int, duty: relay_duty.Duty, now_ms: clock.Millis
+    def _may_fetch_from_origin(
+        self, index: int, assignment: relay_duty.Duty, now_ms: clock.Millis
     ) -> bool:
-        if index in self._draws or now_ms < self._origin_not_before_ms:
+        if index in self._origin_fetches or now_ms < self._origin_not_before_ms:
             return False
-        if len(self._draws) >= self._draws_max(now_ms):
+        if len(self._origin_fetches) >= self._origin_fetches_max(now_ms):
             return False
-        due_ms = max(
-            self._first_draw_ms, self._named_ms + index * self._piece_ms
+        planned_ms = max(
+            self._first_fetch_ms, self._named_ms + index * self._piece_ms
         )
-        turn_ms = self._turns_ms.get(index, due_ms)
-        if duty.rank == 0:
-            return now_ms >= max(due_ms, turn_ms)
-        if self._is_away:
-            wait_ms = duty.rank * AWAY_TAKEOVER_MS
-            since_ms = max(due_ms, self._origin_failed_ms)
-            return now_ms >= max(since_ms + wait_ms, turn_ms)
-        since_ms = due_ms
+        slot_ms = self._slots_ms.get(index, planned_ms)
+        if assignment.rank == 0:
+            return now_ms >= max(planned_ms, slot_ms)
+        if self._origin_is_down:
+            wait_ms = assignment.rank * AWAY_TAKEOVER_MS
+            since_ms = max(planned_ms, self._origin_failed_ms)
+            return now_ms >= max(since_ms + wait_ms, slot_ms)
+        since_ms = planned_ms
         if self._origin_failed_ms > float("-inf"):
-            # Pieces come late after an outage, and those that go first draw.
-            since_ms = max(due_ms, self._news_ms)
-        return now_ms >= since_ms + duty.rank * TAKEOVER_MS
+            # After an outage pieces arrive late, and the entries that precede
+            # this one are already fetching them.
+            since_ms = max(planned_ms, self._update_ms)
+        return now_ms >= since_ms + assignment.rank * TAKEOVER_MS
 
     @property
-    def _is_away(self) -> bool:
-        """Whether nothing came from the origin since it failed."""
-        return self._origin_failed_ms > self._news_ms
+    def _origin_is_down(self) -> bool:
+        """Whether no piece is known to have left the origin since it failed."""
+        return self._origin_failed_ms > self._update_ms
 
-    def _draws_max(self, now_ms: clock.Millis) -> int:
-        """Returns how many pieces may be drawn at once."""
-        if self._is_away:
+    def _origin_fetches_max(self, now_ms: clock.Millis) -> int:
+        """Returns how many pieces may be fetched from the origin at once."""
+        if self._origin_is_down:
             return 1
-        last = max(self._duties, default=0)
+        last = max(self._assignments, default=0)
         last_due_ms = self._named_ms + (last + 1) * self._piece_ms
         usual = LATE_DRAWS_MAX if now_ms > last_due_ms else DRAWS_MAX
-        fair = CONNECTIONS_SHARE * self._connections / self._entries
-        return max(1, min(usual, int(fair)))
+        fair_share = CONNECTIONS_SHARE * self._connections / self._entries
+        return max(1, min(usual, int(fair_share)))
--- a/tests/core/test_guidance.py
+++ b/tests/core/test_guidance.py
@@ -18,23 +18,23 @@
 AGENT = member("agent-1", members.MemberKind.AGENT, "dc-1")
 
 
-def guides(entries: list[members.Member]) -> list[str]:
+def coordinators(entries: list[members.Member]) -> list[str]:
     return guidance.guides_of("agent-1", cells.Cells(entries, [AGENT], {}))
 
 
-def test_an_agent_has_guides_in_its_cell_and_one_elsewhere() -> None:
+def test_agent_has_two_coordinators_in_its_region_and_one_elsewhere() -> None:
     by_name = {entry.vm_id: entry.data_centre for entry in ENTRIES}
-    places = sorted(by_name[name] for name in guides(ENTRIES))
-    assert places == ["dc-1", "dc-1", "dc-2"]
+    data_centres = sorted(by_name[name] for name in coordinators(ENTRIES))
+    assert data_centres == ["dc-1", "dc-1", "dc-2"]
 
 
-def test_every_entry_comes_to_the_same_guides() -> None:
-    assert guides(ENTRIES[::-1]) == guides(ENTRIES)
+def test_coordinators_do_not_depend_on_the_order_of_the_entries() -> None:
+    assert coordinators(ENTRIES[::-1]) == coordinators(ENTRIES)
 
 
-def test_a_region_without_entries_is_guided_from_elsewhere() -> None:
+def test_region_without_entries_has_coordinators_elsewhere() -> None:
     far = [entry for entry in ENTRIES if entry.data_centre == "dc-2"]
     expected = guidance.NEAR_GUIDES + guidance.FAR_GUIDES
-    assert len(guides(far)) == expected
-    assert guides(ENTRIES[:1]) == ["entry-0"]
-    assert guides([]) == []
+    assert len(coordinators(far)) == expected
+    assert coordinators(ENTRIES[:1]) == ["entry-0"]
+    assert coordinators([]) == []
--- a/tests/core/test_relay_duty.py
+++ b/tests/core/test_relay_duty.py
@@ -9,10 +9,16 @@
 KEYS = [f"{n:064x}" for n in range(64)]
 
 
-def places(
+def make_locations(
     entries: int, regions: int = 3, cell_max: int = 16
 ) -> dict[str, relay_duty.Place]:
-    """Returns places of entries, by turns in regions, in cells of some size."""
+    """Returns locations of entries, spread over regions and divided into cells.
+
+    Args:
+      entries: number of entries.
+      regions: number of regions.
+      cell_max: maximum number of entries in a cell.
+    """
     found = {}
     for number in range(entries):
         region = f"region-{number % regions}"
@@ -23,49 +29,54 @@
 
 @pytest.mark.parametrize("entries", [3, 7, 44, 150])
 def test_each_piece_is_held_once_in_each_cell(entries: int) -> None:
-    there = places(entries)
+    locations = make_locations(entries)
     held = collections.Counter(
-        (there[own].cell, index)
-        for own in there
-        for index in relay_duty.duties(own, there, KEYS)
+        (locations[own].cell, index)
+        for own in locations
+        for index in relay_duty.duties(own, locations, KEYS)
     )
-    cells = {place.cell for place in there.values()}
+    cells = {location.cell for location in locations.values()}
     assert held == {(cell, index): 1 for cell in cells for index in range(64)}
 
 
 @pytest.mark.parametrize("entries", [3, 44, 150])
-def test_one_entry_draws_a_piece_and_one_of_each_region_imports_it(
+def test_one_entry_fetches_a_piece_and_one_of_each_region_imports_it(
     entries: int,
 ) -> None:
-    there = places(entries)
-    found = {own: relay_duty.duties(own, there, KEYS) for own in there}
+    locations = make_locations(entries)
+    found = {own: relay_duty.duties(own, locations, KEYS) for own in locations}
     for index in range(64):
         duties = {own: f[index] for own, f in found.items() if index in f}
-        drawers = [own for own, duty in duties.items() if duty.rank == 0]
-        assert len(drawers) == 1
+        fetchers = [
+            own for own, assignment in duties.items() if assignment.rank == 0
+        ]
+        assert len(fetchers) == 1
         regions = [
-            there[own].region
-            for own, duty in duties.items()
-            if there[duty.sources[0]].region != there[own].region
+            locations[own].region
+            for own, assignment in duties.items()
+            if locations[assignment.sources[0]].region != locations[own].region
         ]
-        # The drawer's first source is elsewhere too, but it asks nobody.
+        # The first source of the entry that fetches from the origin is in
+        # another region too, but that entry requests nothing from it.
         assert sorted(regions) == [f"region-{n}" for n in range(3)]
 
 
-def test_ranks_name_an_order_without_gaps() -> None:
-    there = places(150)
+def test_ranks_of_a_piece_have_no_gaps() -> None:
+    locations = make_locations(150)
     ranks = sorted(
         found[0].rank
-        for own in there
-        if 0 in (found := relay_duty.duties(own, there, KEYS))
+        for own in locations
+        if 0 in (found := relay_duty.duties(own, locations, KEYS))
     )
     assert ranks == list(range(len(ranks)))
 
 
-def test_an_entry_that_goes_leaves_the_others_their_pieces() -> None:
-    there = places(44)
-    gone = next(iter(there))
-    rest = {name: place for name, place in there.items() if name != gone}
+def test_other_entries_keep_their_pieces_when_an_entry_leaves() -> None:
+    locations = make_locations(44)
+    gone = next(iter(locations))
+    rest = {
+        name: location for name, location in locations.items() if name != gone
+    }
     for own in rest:
-        before = relay_duty.duties(own, there, KEYS).keys()
+        before = relay_duty.duties(own, locations, KEYS).keys()
         assert before <= relay_duty.duties(own, rest, KEYS).keys()
