--- a/src/marlramp/core/relay_duty.py
+++ b/src/marlramp/core/relay_assignment.py
@@ -24,7 +24,7 @@
 from marlramp.core import rendezvous
 
 
-class Place(msgspec.Struct, frozen=True):
+class Location(msgspec.Struct, frozen=True):
     """Location of an entry.
 
     Attributes:
@@ -36,7 +36,7 @@
     cell: str
 
 
-class Duty(msgspec.Struct, frozen=True):
+class Assignment(msgspec.Struct, frozen=True):
     """Assignment of one piece to an entry, and the sources of the piece.
 
     Attributes:
@@ -58,9 +58,9 @@
         return self.far if self.near is None else (self.near, *self.far)
 
 
-def duties(
-    own: str, locations: Mapping[str, Place], keys: Sequence[str]
-) -> dict[int, Duty]:
+def assignments(
+    own: str, locations: Mapping[str, Location], keys: Sequence[str]
+) -> dict[int, Assignment]:
     """Returns the assignments of an entry, by the index of the piece.
 
     Args:
@@ -79,7 +79,9 @@
     return found
 
 
-def _assignment(own: str, locations: Mapping[str, Place], key: str) -> Duty:
+def _assignment(
+    own: str, locations: Mapping[str, Location], key: str
+) -> Assignment:
     """Returns the assignment of an entry that holds a piece for its cell."""
     first_of_region: dict[str, str] = {}
     first_of_cell: dict[str, str] = {}
@@ -90,7 +92,7 @@
     firsts = list(first_of_region.values())
     near = first_of_region[locations[own].region]
     fetchers = dict.fromkeys([*firsts, *first_of_cell.values()])
-    return Duty(
+    return Assignment(
         rank=list(fetchers).index(own),
         near=None if near == own else near,
         far=tuple(name for name in firsts if name != near),
--- a/src/marlramp/core/relay_fetch.py
+++ b/src/marlramp/core/relay_fetch.py
@@ -20,7 +20,7 @@
 
 from marlramp import clock
 from marlramp.core import origin_turns
-from marlramp.core import relay_duty
+from marlramp.core import relay_assignment
 
 DRAWS_MAX = 2
 """Pieces that one entry fetches from the origin at once while the pieces leave
@@ -133,7 +133,7 @@
         is_new = age_ms is not None and age_ms < NEW_MS
         self._first_fetch_ms: float = now_ms + (0.0 if is_new else UNASKED_MS)
         self._entries = 1
-        self._assignments: Mapping[int, relay_duty.Duty] = {}
+        self._assignments: Mapping[int, relay_assignment.Assignment] = {}
         self._held: set[int] = set()
         self._holders: dict[int, set[str]] = {}
         self._requests: dict[int, _Request] = {}
@@ -164,7 +164,9 @@
         self._first_fetch_ms = min(self._first_fetch_ms, now_ms + HELLO_MS)
 
     def set_duties(
-        self, assignments: Mapping[int, relay_duty.Duty], entries: int
+        self,
+        assignments: Mapping[int, relay_assignment.Assignment],
+        entries: int,
     ) -> None:
         """Sets the assignments, which change with the members.
 
@@ -315,7 +317,10 @@
         return [Cancel(index) for index in late]
 
     def _source(
-        self, index: int, assignment: relay_duty.Duty, now_ms: clock.Millis
+        self,
+        index: int,
+        assignment: relay_assignment.Assignment,
+        now_ms: clock.Millis,
     ) -> str | None:
         """Returns the process to request a piece from, None if there is none.
 
@@ -350,7 +355,10 @@
         )
 
     def _may_fetch_from_origin(
-        self, index: int, assignment: relay_duty.Duty, now_ms: clock.Millis
+        self,
+        index: int,
+        assignment: relay_assignment.Assignment,
+        now_ms: clock.Millis,
     ) -> bool:
         if index in self._origin_fetches or now_ms < self._origin_not_before_ms:
             return False
--- a/src/marlramp/direct/fleet/placement.py
+++ b/src/marlramp/direct/fleet/placement.py
@@ -7,7 +7,7 @@
 from marlramp import clock
 from marlramp.core import cells
 from marlramp.core import members
-from marlramp.core import relay_duty
+from marlramp.core import relay_assignment
 from marlramp.direct.fleet import member_sync
 
 SETTLE_MS = 500.0
@@ -37,7 +37,7 @@
         self._seen_changes = -1
         self._divided_ms = float("-inf")
         self.cells = cells.Cells([], [], regions)
-        self.relay_places: dict[str, relay_duty.Place] = {}
+        self.relay_places: dict[str, relay_assignment.Location] = {}
 
     def refresh(self) -> bool:
         """Divides anew if members changed; returns whether it did."""
@@ -64,7 +64,7 @@
         )
         self.cells = cells.Cells(entries, agents, self._regions)
         self.relay_places = {
-            vm_id: relay_duty.Place(cell.region, cell.name)
+            vm_id: relay_assignment.Location(cell.region, cell.name)
             for cell in self.cells.all
             for vm_id in cell.entries
         }
--- a/src/marlramp/direct/fleet/relay_surroundings.py
+++ b/src/marlramp/direct/fleet/relay_surroundings.py
@@ -10,7 +10,7 @@
 from marlramp.core import catalog
 from marlramp.core import fleet
 from marlramp.core import members
-from marlramp.core import relay_duty
+from marlramp.core import relay_assignment
 from marlramp.direct.fleet import member_sync
 from marlramp.direct.fleet import placement
 from marlramp.direct.weights import version_digests
@@ -47,7 +47,7 @@
         service = self._origin_service()
         return "" if service is None else service.origin
 
-    def places(self) -> Mapping[str, relay_duty.Place]:
+    def places(self) -> Mapping[str, relay_assignment.Location]:
         """Returns the entries that relay pieces, this one among them."""
         if self._sync.roster.own.state is members.MemberState.LEAVING:
             return {}
--- a/src/marlramp/direct/weights/piece_relay.py
+++ b/src/marlramp/direct/weights/piece_relay.py
@@ -18,7 +18,7 @@
 from marlramp import counters
 from marlramp import logs
 from marlramp.core import chunk_bitmap
-from marlramp.core import relay_duty
+from marlramp.core import relay_assignment
 from marlramp.core import relay_fetch
 from marlramp.direct.weights import piece_downloads
 from marlramp.direct.weights import piece_draws
@@ -53,7 +53,7 @@
 class Surroundings(Protocol):
     """What the relay asks the entry that it belongs to."""
 
-    def places(self) -> Mapping[str, relay_duty.Place]:
+    def places(self) -> Mapping[str, relay_assignment.Location]:
         """Returns the entries that relay pieces, this one among them."""
         ...
 
@@ -146,7 +146,7 @@
             self._on_drawn, self._on_not_drawn, time
         )
         self._versions: dict[str, _Version] = {}
-        self._places: Mapping[str, relay_duty.Place] = {}
+        self._places: Mapping[str, relay_assignment.Location] = {}
         self._newest: dict[str, version_digests.Wanted] = {}
         self._wake = asyncio.Event()
 
@@ -248,7 +248,7 @@
             self._clock.now_ms(),
         )
         version.fetch.set_duties(
-            relay_duty.duties(self._own, self._places, pieces),
+            relay_assignment.assignments(self._own, self._places, pieces),
             len(self._places),
         )
         for index in whole.held:
@@ -278,7 +278,9 @@
             for name in gone:
                 version.fetch.peer_lost(name)
             version.fetch.set_duties(
-                relay_duty.duties(self._own, places, whole.manifest.chunks),
+                relay_assignment.assignments(
+                    self._own, places, whole.manifest.chunks
+                ),
                 len(places),
             )
             version.greeted_ms = float("-inf")
--- a/src/marlramp/experiments/spread.py
+++ b/src/marlramp/experiments/spread.py
@@ -19,7 +19,7 @@
 from marlramp.core import cells
 from marlramp.core import manifest
 from marlramp.core import members
-from marlramp.core import relay_duty
+from marlramp.core import relay_assignment
 from marlramp.direct.weights import piece_exchange
 from marlramp.direct.weights import piece_relay
 from marlramp.direct.weights import version_digests
@@ -142,7 +142,7 @@
         self._fleet = fleet
         self._name = name
 
-    def places(self) -> dict[str, relay_duty.Place]:
+    def places(self) -> dict[str, relay_assignment.Location]:
         fleet = self._fleet
         lost_ms = fleet.plan.relays_lost_ms + MEMBERS_KNOW_MS
         if fleet.plan.relays_lost and fleet.time.now_ms() >= lost_ms:
@@ -214,7 +214,7 @@
         ]
         divided = cells.Cells(self._entries, self._agents, {})
         self.places = {
-            vm_id: relay_duty.Place(cell.region, cell.name)
+            vm_id: relay_assignment.Location(cell.region, cell.name)
             for cell in divided.all
             for vm_id in cell.entries
         }
--- a/tests/core/test_relay_fetch.py
+++ b/tests/core/test_relay_fetch.py
@@ -4,7 +4,7 @@
 
 from marlramp import clock
 from marlramp.core import origin_turns
-from marlramp.core import relay_duty
+from marlramp.core import relay_assignment
 from marlramp.core import relay_fetch
 
 PIECE_MS = 40.0
@@ -13,16 +13,16 @@
 ENTRIES = 3
 RETRY_MS = 100.0
 FIRST_IN_ORDER = {
-    n: relay_duty.Duty(0, "near", ("far",)) for n in range(PIECES)
+    n: relay_assignment.Assignment(0, "near", ("far",)) for n in range(PIECES)
 }
 SECOND_IN_ORDER = {
-    n: relay_duty.Duty(1, None, ("first",)) for n in range(PIECES)
+    n: relay_assignment.Assignment(1, None, ("first",)) for n in range(PIECES)
 }
 
 
 def make(
     time: clock.ManualClock,
-    assignments: dict[int, relay_duty.Duty],
+    assignments: dict[int, relay_assignment.Assignment],
     *,
     is_new: bool = True,
 ) -> relay_fetch.RelayFetch:
--- a/tests/direct/weights/test_piece_relay.py
+++ b/tests/direct/weights/test_piece_relay.py
@@ -14,7 +14,7 @@
 from marlramp import ids
 from marlramp.core import chunk_bitmap
 from marlramp.core import manifest
-from marlramp.core import relay_duty
+from marlramp.core import relay_assignment
 from marlramp.direct.weights import piece_relay
 from marlramp.direct.weights import version_digests
 from marlramp.platform import clients
@@ -67,10 +67,10 @@
     def __init__(self, piece_ms: float = 1.0) -> None:
         self.named = [NEWEST]
         self.origin_piece_ms = piece_ms
-        self.here = {"own": relay_duty.Place("north", "north/0")}
+        self.here = {"own": relay_assignment.Location("north", "north/0")}
         self.sent: list[tuple[str, msgspec.Struct]] = []
 
-    def places(self) -> dict[str, relay_duty.Place]:
+    def places(self) -> dict[str, relay_assignment.Location]:
         return self.here
 
     def wanted(self) -> list[version_digests.Wanted]:
@@ -219,14 +219,14 @@
     """All eight in turn would be looked for each 0.8 s, four times in 2 s."""
     entry, origin = Entry(piece_ms=100.0), AwayOrigin()
     entry.here = {name: entry.here["own"] for name in ("own", *MATES)}
-    duties = relay_duty.duties("own", entry.here, FOUND.chunks)
-    seen = chunk_bitmap.to_bitmap(set(range(8)) - duties.keys())
+    assignments = relay_assignment.assignments("own", entry.here, FOUND.chunks)
+    seen = chunk_bitmap.to_bitmap(set(range(8)) - assignments.keys())
     told = msgspec.structs.replace(hello(NEWEST), seen=seen)
 
     async def act(relay: piece_relay.PieceRelay) -> None:
         relay.on_message("vm-1", told)
         async with asyncio.timeout(2.0):
-            while origin.drawn.count(min(duties)) < 6:
+            while origin.drawn.count(min(assignments)) < 6:
                 await asyncio.sleep(0.02)
 
     play(entry, origin, act)
