--- a/src/marlramp/core/origin_turns.py
+++ b/src/marlramp/core/origin_retry_slots.py
@@ -16,13 +16,13 @@
 from collections.abc import Sequence
 import math
 
-RANK_PIECES = 4
+RANK_OFFSET_PIECES = 4
 """Slots between the retry of an entry and that of the next entry in the order
 for one piece: one in which the piece leaves the origin, and three in which it
 arrives and the entry announces it."""
 
 
-def next_turn_ms(
+def next_slot_ms(
     index: int,
     missing: Sequence[int],
     piece_ms: float,
@@ -44,4 +44,4 @@
     first_ms = named_ms + position * piece_ms
     cycle_ms = max(1, len(missing)) * piece_ms
     cycles = math.ceil((after_ms - first_ms) / cycle_ms)
-    return first_ms + cycles * cycle_ms + rank * RANK_PIECES * piece_ms
+    return first_ms + cycles * cycle_ms + rank * RANK_OFFSET_PIECES * piece_ms
--- a/src/marlramp/core/relay_fetch.py
+++ b/src/marlramp/core/relay_fetch.py
@@ -19,7 +19,7 @@
 import msgspec
 
 from marlramp import clock
-from marlramp.core import origin_turns
+from marlramp.core import origin_retry_slots
 from marlramp.core import relay_assignment
 
 DRAWS_MAX = 2
@@ -265,7 +265,7 @@
                 index in self._slots_ms or not uses_slots
             ):
                 continue
-            self._slots_ms[index] = origin_turns.next_turn_ms(
+            self._slots_ms[index] = origin_retry_slots.next_slot_ms(
                 index,
                 missing,
                 self._piece_ms,
--- a/tests/core/test_origin_turns.py
+++ b/tests/core/test_origin_retry_slots.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from marlramp.core import origin_turns
+from marlramp.core import origin_retry_slots
 
 PIECE_MS = 40.0
 NAMED_MS = 1_000.0
@@ -14,7 +14,7 @@
 
 
 def slot_ms(index: int, after_ms: float = AFTER_MS, rank: int = 0) -> float:
-    return origin_turns.next_turn_ms(
+    return origin_retry_slots.next_slot_ms(
         index, MISSING, PIECE_MS, NAMED_MS, after_ms, rank
     )
 
@@ -47,7 +47,7 @@
 def test_next_entry_waits_for_the_first_to_announce_its_piece() -> None:
     after_ms = slot_ms(9)
     wait_ms = slot_ms(9, after_ms, rank=1) - after_ms
-    assert wait_ms == origin_turns.RANK_PIECES * PIECE_MS
+    assert wait_ms == origin_retry_slots.RANK_OFFSET_PIECES * PIECE_MS
 
 
 def test_piece_with_a_known_holder_has_a_slot() -> None:
@@ -56,5 +56,5 @@
 
 
 def test_slots_without_missing_pieces_are_one_piece_apart() -> None:
-    slot = origin_turns.next_turn_ms(5, [], PIECE_MS, NAMED_MS, AFTER_MS)
+    slot = origin_retry_slots.next_slot_ms(5, [], PIECE_MS, NAMED_MS, AFTER_MS)
     assert 0.0 <= slot - AFTER_MS < PIECE_MS
--- a/tests/core/test_relay_fetch.py
+++ b/tests/core/test_relay_fetch.py
@@ -3,7 +3,7 @@
 import itertools
 
 from marlramp import clock
-from marlramp.core import origin_turns
+from marlramp.core import origin_retry_slots
 from marlramp.core import relay_assignment
 from marlramp.core import relay_fetch
 
@@ -251,7 +251,9 @@
                 retries[name].append(time.now_ms() - start_ms)
                 fetch.origin_failed(index, RETRY_MS, time.now_ms(), missing)
         time.advance(1.0)
-    slot_ms = retries["second"][-1] - origin_turns.RANK_PIECES * PIECE_MS
+    slot_ms = (
+        retries["second"][-1] - origin_retry_slots.RANK_OFFSET_PIECES * PIECE_MS
+    )
     assert slot_ms in retries["first"]
 
 
