--- a/src/marlramp/core/origin_asks.py
+++ b/src/marlramp/core/origin_requests.py
@@ -13,7 +13,7 @@
 
 from marlramp import clock
 
-FIRST_ASKERS = 2
+UNDELAYED_AGENTS = 2
 """Number of agents that send a request without delay; the second one covers
 for a first one that is gone."""
 
@@ -25,7 +25,7 @@
 RETRY_MIN_MS = 200.0
 """Backoff after the first failure; it doubles with each further failure."""
 
-PAUSE_PER_AGENT_MS = 100.0
+BACKOFF_PER_AGENT_MS = 100.0
 """Maximum backoff per agent of the fleet. All agents together then send the
 origin about ten requests a second, whatever their number, and one of these
 requests arrives soon after the origin recovers."""
@@ -34,7 +34,7 @@
 """Fraction of a backoff by which it varies in either direction."""
 
 
-class OriginAsks:
+class OriginRequests:
     """Schedule of one agent's requests for the digests of one version."""
 
     def __init__(self, now_ms: clock.Millis, rng: random.Random) -> None:
@@ -51,7 +51,7 @@
           rank: number of agents that precede this one in the order.
           now_ms: the current time.
         """
-        delay_ms = max(0, rank + 1 - FIRST_ASKERS) * TAKEOVER_MS
+        delay_ms = max(0, rank + 1 - UNDELAYED_AGENTS) * TAKEOVER_MS
         return now_ms >= max(self._since_ms + delay_ms, self._not_before_ms)
 
     def overdue(self, now_ms: clock.Millis) -> bool:
@@ -67,5 +67,5 @@
         """
         jitter = self._rng.uniform(1.0 - JITTER, 1.0 + JITTER)
         self._not_before_ms = now_ms + jitter * self._backoff_ms
-        backoff_max_ms = max(RETRY_MIN_MS, PAUSE_PER_AGENT_MS * agents)
+        backoff_max_ms = max(RETRY_MIN_MS, BACKOFF_PER_AGENT_MS * agents)
         self._backoff_ms = min(backoff_max_ms, 2 * self._backoff_ms)
--- a/src/marlramp/direct/weights/version_digests.py
+++ b/src/marlramp/direct/weights/version_digests.py
@@ -14,7 +14,7 @@
 from marlramp import clock
 from marlramp import logs
 from marlramp.core import manifest
-from marlramp.core import origin_asks
+from marlramp.core import origin_requests
 from marlramp.core import rendezvous
 from marlramp.platform import clients
 from marlramp.protocol import messages
@@ -111,7 +111,7 @@
 
     async def find(self, wanted: Wanted) -> manifest.Whole:
         """Learns the digests of a version from the origin or neighbours."""
-        asks = origin_asks.OriginAsks(self._clock.now_ms(), self._rng)
+        asks = origin_requests.OriginRequests(self._clock.now_ms(), self._rng)
         asking: asyncio.Task[None] | None = None
         try:
             if self._asks_first:
@@ -164,13 +164,17 @@
         """Returns who asks the origin, the first in front."""
         return rendezvous.order(wanted.name, {self._own, *self._peers()})
 
-    def _is_due(self, wanted: Wanted, asks: origin_asks.OriginAsks) -> bool:
+    def _is_due(
+        self, wanted: Wanted, asks: origin_requests.OriginRequests
+    ) -> bool:
         if self.origin is None:
             return False
         rank = self._ordered(wanted).index(self._own)
         return asks.due(rank, self._clock.now_ms())
 
-    async def _ask(self, wanted: Wanted, asks: origin_asks.OriginAsks) -> None:
+    async def _ask(
+        self, wanted: Wanted, asks: origin_requests.OriginRequests
+    ) -> None:
         if self.origin is None:
             return
         try:
