--- a/src/marlramp/core/guidance.py
+++ b/src/marlramp/core/agent_coordinators.py
@@ -9,18 +9,18 @@
 from marlramp.core import cells
 from marlramp.core import rendezvous
 
-NEAR_GUIDES = 2
+NEAR_COORDINATORS = 2
 """Coordinators of an agent in its own cell. One would be enough; the second one
 keeps the failure of the other from delaying anything. If all entries
 coordinated all agents, each change would cost as many messages as the number of
 entries times the number of agents."""
 
-FAR_GUIDES = 1
+FAR_COORDINATORS = 1
 """Further coordinators of an agent, in another region, or in its own cell if
 there is no other region."""
 
 
-def guides_of(vm_id: str, known: cells.Cells) -> list[str]:
+def coordinators_of(vm_id: str, known: cells.Cells) -> list[str]:
     """Returns the entries that coordinate an agent.
 
     Two of them are in the agent's cell. One is in another region, in case the
@@ -38,12 +38,14 @@
     if cell is None:
         return []
     key = f"guide\0{vm_id}"
-    near = rendezvous.subset(key, cell.entries, NEAR_GUIDES)
+    near = rendezvous.subset(key, cell.entries, NEAR_COORDINATORS)
     elsewhere = {
         other.name: other for other in known.all if other.region != cell.region
     }
     if not elsewhere:
-        return rendezvous.subset(key, cell.entries, NEAR_GUIDES + FAR_GUIDES)
+        return rendezvous.subset(
+            key, cell.entries, NEAR_COORDINATORS + FAR_COORDINATORS
+        )
     (far_cell,) = rendezvous.subset(key, elsewhere, 1)
-    far_count = FAR_GUIDES + NEAR_GUIDES - len(near)
+    far_count = FAR_COORDINATORS + NEAR_COORDINATORS - len(near)
     return near + rendezvous.subset(key, elsewhere[far_cell].entries, far_count)
--- a/src/marlramp/direct/fleet/agent_guide.py
+++ b/src/marlramp/direct/fleet/agent_guide.py
@@ -7,8 +7,8 @@
 import msgspec
 
 from marlramp import clock
+from marlramp.core import agent_coordinators
 from marlramp.core import catalog
-from marlramp.core import guidance
 from marlramp.core import members
 from marlramp.direct.fleet import member_sync
 from marlramp.direct.fleet import placement
@@ -94,7 +94,7 @@
             vm_id
             for cell in known.all
             for vm_id in cell.agents
-            if own in guidance.guides_of(vm_id, known)
+            if own in agent_coordinators.coordinators_of(vm_id, known)
         }
         for vm_id in self._guided - guided:
             self._told.pop(vm_id, None)
@@ -179,7 +179,7 @@
         own = self._sync.roster.own
         cell = known.of_agent(vm_id) or known.of_entry(own.vm_id)
         names = set() if cell is None else set(cell.entries)
-        names.update(guidance.guides_of(vm_id, known))
+        names.update(agent_coordinators.coordinators_of(vm_id, known))
         found = [own.member] if own.vm_id in names or not names else []
         for name in sorted(names):
             record = self._sync.roster.get(name)
--- a/tests/core/test_guidance.py
+++ b/tests/core/test_agent_coordinators.py
@@ -1,7 +1,7 @@
 from __future__ import annotations
 
+from marlramp.core import agent_coordinators
 from marlramp.core import cells
-from marlramp.core import guidance
 from marlramp.core import members
 
 
@@ -19,7 +19,9 @@
 
 
 def coordinators(entries: list[members.Member]) -> list[str]:
-    return guidance.guides_of("agent-1", cells.Cells(entries, [AGENT], {}))
+    return agent_coordinators.coordinators_of(
+        "agent-1", cells.Cells(entries, [AGENT], {})
+    )
 
 
 def test_agent_has_two_coordinators_in_its_region_and_one_elsewhere() -> None:
@@ -34,7 +36,10 @@
 
 def test_region_without_entries_has_coordinators_elsewhere() -> None:
     far = [entry for entry in ENTRIES if entry.data_centre == "dc-2"]
-    expected = guidance.NEAR_GUIDES + guidance.FAR_GUIDES
+    expected = (
+        agent_coordinators.NEAR_COORDINATORS
+        + agent_coordinators.FAR_COORDINATORS
+    )
     assert len(coordinators(far)) == expected
     assert coordinators(ENTRIES[:1]) == ["entry-0"]
     assert coordinators([]) == []
