--- a/src/marlramp/core/prober.py
+++ b/src/marlramp/core/prober.py
@@ -19,7 +19,7 @@
 from marlramp.core import members
 from marlramp.core import roster
 
-PROBE_MS = 400.0
+PROBE_INTERVAL_MS = 400.0
 """Time between two cycles of probes."""
 
 NEAR_PROBES = 2
@@ -39,24 +39,24 @@
 """Time without a contradiction from a suspected entry after which every other
 entry probes it directly, before treating it as down."""
 
-LOOK_FOR_MS = 1_000.0
+DOWN_PROBE_INTERVAL_MS = 1_000.0
 """Time between two probes of entries that are down, to detect recoveries."""
 
-DIRECT_MS = 400.0
+DIRECT_TIMEOUT_MS = 400.0
 """Time without an answer to a direct probe after which indirect probes start. A
 link on which packets wait this long does not serve callers in time either."""
 
-INDIRECT_MS = 400.0
+INDIRECT_TIMEOUT_MS = 400.0
 """Time within which an indirect probe must be answered."""
 
-HELPERS = 3
+HELPERS_MAX = 3
 """Number of entries through which a silent entry is probed."""
 
-PAUSED_MS = 1_000.0
+PROCESS_PAUSE_MS = 1_000.0
 """Time between two ticks that shows that this process itself was paused. Probes
 that were pending during the pause then prove nothing and are discarded."""
 
-DOUBTED_MAX = 16
+DISPUTED_MAX = 16
 """Maximum number of entries probed in one tick because this entry considers
 them down and others do not."""
 
@@ -129,16 +129,16 @@
 
     def tick(self, now_ms: clock.Millis) -> list[Action]:
         """Returns the probes to send and the entries to suspect now."""
-        if now_ms - self._tick_ms > PAUSED_MS:
+        if now_ms - self._tick_ms > PROCESS_PAUSE_MS:
             self._pending.clear()
         self._tick_ms = now_ms
         actions = self._follow_up(now_ms)
         targets = self._disputed() + self._unconfirmed(now_ms)
-        if now_ms - self._cycle_ms >= PROBE_MS:
+        if now_ms - self._cycle_ms >= PROBE_INTERVAL_MS:
             self._cycle_ms = now_ms
             self._cycles += 1
             targets.extend(self._next_targets(now_ms))
-        if now_ms - self._down_probe_ms >= LOOK_FOR_MS:
+        if now_ms - self._down_probe_ms >= DOWN_PROBE_INTERVAL_MS:
             self._down_probe_ms = now_ms
             targets.extend(self._down_entry())
         for vm_id in targets:
@@ -156,12 +156,12 @@
                 del self._pending[vm_id]
                 continue
             waited_ms = now_ms - probe.sent_ms
-            if waited_ms >= DIRECT_MS and not probe.indirect:
+            if waited_ms >= DIRECT_TIMEOUT_MS and not probe.indirect:
                 self._unanswered += 1
-            if waited_ms >= DIRECT_MS + INDIRECT_MS:
+            if waited_ms >= DIRECT_TIMEOUT_MS + INDIRECT_TIMEOUT_MS:
                 del self._pending[vm_id]
                 actions.append(Suspect(vm_id))
-            elif waited_ms >= DIRECT_MS and not probe.indirect:
+            elif waited_ms >= DIRECT_TIMEOUT_MS and not probe.indirect:
                 probe.indirect = True
                 helpers = self._helpers(vm_id)
                 if helpers:
@@ -203,7 +203,7 @@
                 continue
             if record.news.state is members.MemberState.DOWN:
                 continue
-            if now_ms - record.heard_ms >= PROBE_MS:
+            if now_ms - record.heard_ms >= PROBE_INTERVAL_MS:
                 selected.append(vm_id)
         return selected
 
@@ -217,7 +217,7 @@
 
     def _disputed(self) -> list[str]:
         """Returns entries that are down here but not to others."""
-        disputed = sorted(self._roster.doubted)[:DOUBTED_MAX]
+        disputed = sorted(self._roster.doubted)[:DISPUTED_MAX]
         self._roster.doubted.difference_update(disputed)
         return disputed
 
@@ -254,7 +254,7 @@
             and record.news.vm_id not in self._pending
             and record.news.state is members.MemberState.READY
         ]
-        return self._rng.sample(others, min(HELPERS, len(others)))
+        return self._rng.sample(others, min(HELPERS_MAX, len(others)))
 
     def _entries(self) -> list[roster.Record]:
         return [
--- a/src/marlramp/core/relay_fetch.py
+++ b/src/marlramp/core/relay_fetch.py
@@ -22,11 +22,11 @@
 from marlramp.core import origin_retry_slots
 from marlramp.core import relay_assignment
 
-DRAWS_MAX = 2
+ORIGIN_FETCHES_MAX = 2
 """Pieces that one entry fetches from the origin at once while the pieces leave
 it in order."""
 
-LATE_DRAWS_MAX = 4
+OVERDUE_ORIGIN_FETCHES_MAX = 4
 """Pieces that one entry fetches from the origin at once after the time at which
 all pieces should have left it. The origin was then unavailable, and its link
 would be idle between the fetches of an entry that fetches one after another."""
@@ -36,10 +36,10 @@
 origin resets connections beyond its limit, and the pieces that they were to
 carry are retried later than the others."""
 
-ASKS_MAX = 4
+PEER_REQUESTS_MAX = 4
 """Pieces that are requested from other processes at once."""
 
-FAR_ASKS_MAX = 2
+FAR_REQUESTS_MAX = 2
 """Pieces that are requested from entries of other regions at once. What all
 entries of a region request at once queues on one link, and live answers queue
 behind it."""
@@ -49,35 +49,35 @@
 the transfer of the piece over the shared link of the origin, and the
 announcement of the piece by the entry that fetched it."""
 
-AWAY_TAKEOVER_MS = 6_000.0
+OUTAGE_TAKEOVER_MS = 6_000.0
 """Wait per rank before another entry fetches a piece while the origin does not
 answer. The entries that precede it retry all the time, and pieces that several
 entries fetch once the origin has recovered delay all other pieces."""
 
-TURNS_AFTER = 2
+SLOTS_AFTER_FAILURES = 2
 """Consecutive fetches of one piece without an answer after which the missing
 pieces are retried in slots. Up to this number, the cause may be a connection
 that the origin reset, and the fetch is retried sooner."""
 
-NEW_MS = 2_000.0
+NEW_VERSION_MS = 2_000.0
 """A version that was named less than this time ago is new: no other entry holds
 it from before."""
 
-HELLO_MS = 150.0
+HOLDER_QUERY_MS = 150.0
 """Wait before an entry fetches a version from the origin that other entries may
 hold already and that an agent lacks. It covers the round trip of a query to
 those entries."""
 
-UNASKED_MS = 3_000.0
+NO_DEMAND_WAIT_MS = 3_000.0
 """Wait before an entry fetches a version from the origin that other entries may
 hold already and that no agent is known to lack. The holders have announced it
 by then, so that nothing leaves the origin."""
 
-LATE_MS = 700.0
+REQUEST_TIMEOUT_MS = 700.0
 """Time without a reply from another process after which a piece is requested
 elsewhere."""
 
-SPARED_MS = 1_000.0
+PEER_BACKOFF_MS = 1_000.0
 """Time for which nothing is requested from a process that was late, refused a
 request or sent a corrupt piece."""
 
@@ -130,8 +130,10 @@
         self._piece_ms = piece_ms
         self._connections = connections
         self._named_ms = now_ms if age_ms is None else now_ms - age_ms
-        is_new = age_ms is not None and age_ms < NEW_MS
-        self._first_fetch_ms: float = now_ms + (0.0 if is_new else UNASKED_MS)
+        is_new = age_ms is not None and age_ms < NEW_VERSION_MS
+        self._first_fetch_ms: float = now_ms + (
+            0.0 if is_new else NO_DEMAND_WAIT_MS
+        )
         self._entries = 1
         self._assignments: Mapping[int, relay_assignment.Assignment] = {}
         self._held: set[int] = set()
@@ -161,7 +163,9 @@
 
     def hurry(self, now_ms: clock.Millis) -> None:
         """Records that an agent lacks the version, which shortens the wait."""
-        self._first_fetch_ms = min(self._first_fetch_ms, now_ms + HELLO_MS)
+        self._first_fetch_ms = min(
+            self._first_fetch_ms, now_ms + HOLDER_QUERY_MS
+        )
 
     def set_duties(
         self,
@@ -220,7 +224,7 @@
         request = self._requests.get(index)
         if request is not None and request.peer == peer:
             del self._requests[index]
-        self._backoff_until_ms[peer] = now_ms + SPARED_MS
+        self._backoff_until_ms[peer] = now_ms + PEER_BACKOFF_MS
         # The process may be gone. If it is not, it announces its pieces again.
         self._holders.get(index, set()).discard(peer)
 
@@ -257,7 +261,7 @@
         Pieces that other entries fetch first get a new slot with each failure,
         because the wait of this entry starts with the failure.
         """
-        uses_slots = max(self._failures.values()) > TURNS_AFTER
+        uses_slots = max(self._failures.values()) > SLOTS_AFTER_FAILURES
         for index, assignment in self._assignments.items():
             if index in self._held:
                 continue
@@ -270,7 +274,8 @@
                 missing,
                 self._piece_ms,
                 self._named_ms,
-                self._origin_not_before_ms + assignment.rank * AWAY_TAKEOVER_MS,
+                self._origin_not_before_ms
+                + assignment.rank * OUTAGE_TAKEOVER_MS,
                 assignment.rank,
             )
 
@@ -291,7 +296,7 @@
             peer = self._source(index, assignment, now_ms)
             if peer is not None:
                 if (
-                    len(self._requests) < ASKS_MAX
+                    len(self._requests) < PEER_REQUESTS_MAX
                     and index not in self._origin_fetches
                 ):
                     self._requests[index] = _Request(peer, now_ms)
@@ -310,7 +315,7 @@
         late = [
             index
             for index, request in self._requests.items()
-            if now_ms - request.sent_ms > LATE_MS
+            if now_ms - request.sent_ms > REQUEST_TIMEOUT_MS
         ]
         for index in late:
             self.not_sent(index, self._requests[index].peer, now_ms)
@@ -338,7 +343,7 @@
         far = [name for name in assignment.far if name in holders]
         if (
             now_ms < self._first_fetch_ms
-            or self._far_requests() >= FAR_ASKS_MAX
+            or self._far_requests() >= FAR_REQUESTS_MAX
         ):
             far = []
         for name in [*near, *agents, *far]:
@@ -371,7 +376,7 @@
         if assignment.rank == 0:
             return now_ms >= max(planned_ms, slot_ms)
         if self._origin_is_down:
-            wait_ms = assignment.rank * AWAY_TAKEOVER_MS
+            wait_ms = assignment.rank * OUTAGE_TAKEOVER_MS
             since_ms = max(planned_ms, self._origin_failed_ms)
             return now_ms >= max(since_ms + wait_ms, slot_ms)
         since_ms = planned_ms
@@ -392,6 +397,10 @@
             return 1
         last = max(self._assignments, default=0)
         last_due_ms = self._named_ms + (last + 1) * self._piece_ms
-        usual = LATE_DRAWS_MAX if now_ms > last_due_ms else DRAWS_MAX
+        usual = (
+            OVERDUE_ORIGIN_FETCHES_MAX
+            if now_ms > last_due_ms
+            else ORIGIN_FETCHES_MAX
+        )
         fair_share = CONNECTIONS_SHARE * self._connections / self._entries
         return max(1, min(usual, int(fair_share)))
--- a/src/marlramp/core/swarm.py
+++ b/src/marlramp/core/swarm.py
@@ -62,7 +62,7 @@
 CORRUPT_MAX = 2
 """Number of corrupt chunks after which a neighbour gets no more requests."""
 
-STANDSTILL_MS = 600.0
+STALL_MS = 600.0
 """Time without a new chunk after which the transfer is stalled: the VM waits
 for the origin, or for VMs that wait for the origin. The transfer of a single
 chunk takes a tenth of this time."""
@@ -78,7 +78,7 @@
 RELAY_CREDITS = 2
 """Chunks that are requested from one relay at once."""
 
-RELAY_PATIENCE_MS = 8_000.0
+RELAY_TIMEOUT_MS = 8_000.0
 """Time without a new chunk after which a VM stops leaving the origin and other
 regions to the relays. It is longer than a usual outage of the origin, because
 chunks that both the VM and a relay fetch after an outage delay all VMs."""
@@ -251,8 +251,8 @@
         return self._held
 
     def stands_still(self, now_ms: clock.Millis) -> bool:
-        """Returns whether no new chunk has arrived for `STANDSTILL_MS`."""
-        return now_ms - self._progress_ms > STANDSTILL_MS
+        """Returns whether no new chunk has arrived for `STALL_MS`."""
+        return now_ms - self._progress_ms > STALL_MS
 
     def missing(self) -> list[tuple[int, int]]:
         """Returns each chunk not held, with its number of known holders."""
@@ -421,7 +421,7 @@
         """Returns whether to leave the origin and other regions to relays."""
         if not self._relays:
             return False
-        return now_ms - self._progress_ms < RELAY_PATIENCE_MS
+        return now_ms - self._progress_ms < RELAY_TIMEOUT_MS
 
     def _mark_seen(self, index: int) -> None:
         if index not in self._seen:
--- a/tests/core/test_relay_fetch.py
+++ b/tests/core/test_relay_fetch.py
@@ -76,9 +76,9 @@
     time: clock.ManualClock,
 ) -> None:
     fetch = make(time, FIRST_IN_ORDER, is_new=False)
-    time.advance(relay_fetch.UNASKED_MS - 1.0)
+    time.advance(relay_fetch.NO_DEMAND_WAIT_MS - 1.0)
     assert origin_fetches(fetch, time) == []
-    fetch.hurry(time.now_ms() - 2.0 * relay_fetch.HELLO_MS)
+    fetch.hurry(time.now_ms() - 2.0 * relay_fetch.HOLDER_QUERY_MS)
     assert origin_fetches(fetch, time) != []
 
 
@@ -88,7 +88,7 @@
     fetch = make(time, FIRST_IN_ORDER, is_new=False)
     fetch.hurry(time.now_ms())
     assert origin_fetches(fetch, time) == []
-    time.advance(relay_fetch.HELLO_MS)
+    time.advance(relay_fetch.HOLDER_QUERY_MS)
     assert origin_fetches(fetch, time)[:1] == [0]
 
 
@@ -119,7 +119,7 @@
 ) -> None:
     fetch = make(time, FIRST_IN_ORDER)
     fetch.peer_holds("far", range(PIECES), time.now_ms())
-    assert len(peer_requests(fetch, time)) == relay_fetch.FAR_ASKS_MAX
+    assert len(peer_requests(fetch, time)) == relay_fetch.FAR_REQUESTS_MAX
 
 
 def test_requests_are_spread_over_the_agents_that_hold_all_pieces(
@@ -148,7 +148,7 @@
     time.advance(relay_fetch.TAKEOVER_MS)
     for index in origin_fetches(fetch, time):
         fetch.origin_failed(index, 100.0, time.now_ms())
-    time.advance(relay_fetch.AWAY_TAKEOVER_MS - 1.0)
+    time.advance(relay_fetch.OUTAGE_TAKEOVER_MS - 1.0)
     assert origin_fetches(fetch, time) == []
     time.advance(1.0)
     assert len(origin_fetches(fetch, time)) == 1
@@ -161,7 +161,7 @@
     time.advance(relay_fetch.TAKEOVER_MS)
     for index in origin_fetches(fetch, time):
         fetch.origin_failed(index, 100.0, time.now_ms())
-    time.advance(relay_fetch.AWAY_TAKEOVER_MS - 1.0)
+    time.advance(relay_fetch.OUTAGE_TAKEOVER_MS - 1.0)
     fetch.peer_holds("first", [40], time.now_ms())
     time.advance(relay_fetch.TAKEOVER_MS - 1.0)
     assert origin_fetches(fetch, time) == []
@@ -179,7 +179,10 @@
     time.advance(100.0)
     (index,) = origin_fetches(fetch, time)
     fetch.held(index, time.now_ms())
-    assert len(origin_fetches(fetch, time)) == relay_fetch.LATE_DRAWS_MAX
+    assert (
+        len(origin_fetches(fetch, time))
+        == relay_fetch.OVERDUE_ORIGIN_FETCHES_MAX
+    )
 
 
 def fail_origin_fetches(
@@ -228,9 +231,11 @@
 ) -> None:
     fetch = make(time, {0: FIRST_IN_ORDER[0]})
     start_ms = time.now_ms()
-    until_ms = start_ms + (relay_fetch.TURNS_AFTER + 0.5) * RETRY_MS
+    until_ms = start_ms + (relay_fetch.SLOTS_AFTER_FAILURES + 0.5) * RETRY_MS
     retries = fail_origin_fetches(fetch, time, list(range(PIECES)), until_ms)
-    expected = [n * RETRY_MS for n in range(relay_fetch.TURNS_AFTER + 1)]
+    expected = [
+        n * RETRY_MS for n in range(relay_fetch.SLOTS_AFTER_FAILURES + 1)
+    ]
     assert [at_ms - start_ms for at_ms, _ in retries] == expected
 
 
@@ -242,7 +247,7 @@
     first = make(time, {9: FIRST_IN_ORDER[9]})
     second = make(time, {9: SECOND_IN_ORDER[9]})
     missing = list(range(5, 20))
-    until_ms = time.now_ms() + 2.0 * relay_fetch.AWAY_TAKEOVER_MS
+    until_ms = time.now_ms() + 2.0 * relay_fetch.OUTAGE_TAKEOVER_MS
     start_ms = time.now_ms()
     retries: dict[str, list[float]] = {"first": [], "second": []}
     while time.now_ms() < until_ms:
@@ -262,7 +267,10 @@
 ) -> None:
     fetch = make(time, FIRST_IN_ORDER)
     time.advance(3 * PIECES * PIECE_MS)
-    assert len(origin_fetches(fetch, time)) == relay_fetch.LATE_DRAWS_MAX
+    assert (
+        len(origin_fetches(fetch, time))
+        == relay_fetch.OVERDUE_ORIGIN_FETCHES_MAX
+    )
 
 
 def test_piece_that_does_not_arrive_is_requested_elsewhere(
@@ -272,7 +280,7 @@
     fetch.peer_holds("near", [0], time.now_ms())
     fetch.peer_holds("far", [0], time.now_ms())
     assert peer_requests(fetch, time) == {0: "near"}
-    time.advance(relay_fetch.LATE_MS + 1.0)
+    time.advance(relay_fetch.REQUEST_TIMEOUT_MS + 1.0)
     actions = fetch.next_actions(time.now_ms())
     assert actions == [relay_fetch.Cancel(0), relay_fetch.AskEntry("far", 0)]
 
@@ -309,7 +317,7 @@
     )
     fetch.set_duties({54: FIRST_IN_ORDER[54]}, ENTRIES)
     fetch.hurry(time.now_ms())
-    time.advance(relay_fetch.HELLO_MS)
+    time.advance(relay_fetch.HOLDER_QUERY_MS)
     assert origin_fetches(fetch, time) == [54]
 
 
@@ -328,6 +336,6 @@
     fetch = make(time, {0: FIRST_IN_ORDER[0]})
     fetch.peer_holds("vm-1", range(PIECES), time.now_ms())
     assert peer_requests(fetch, time) == {0: "vm-1"}
-    time.advance(relay_fetch.LATE_MS + 1.0)
+    time.advance(relay_fetch.REQUEST_TIMEOUT_MS + 1.0)
     actions = fetch.next_actions(time.now_ms())
     assert actions == [relay_fetch.Cancel(0), relay_fetch.Draw(0)]
--- a/tests/core/test_swarm_relays.py
+++ b/tests/core/test_swarm_relays.py
@@ -81,7 +81,7 @@
     vm_swarm = make(time, rng)
     vm_swarm.peer_holds(FAR, range(64), [])
     assert peer_requests(vm_swarm, time) == []
-    time.advance(swarm.RELAY_PATIENCE_MS - 1.0)
+    time.advance(swarm.RELAY_TIMEOUT_MS - 1.0)
     assert origin_fetches(vm_swarm, time) == []
 
 
@@ -97,7 +97,7 @@
     time: clock.ManualClock, rng: random.Random
 ) -> None:
     vm_swarm = make(time, rng)
-    time.advance(swarm.RELAY_PATIENCE_MS)
+    time.advance(swarm.RELAY_TIMEOUT_MS)
     assert origin_fetches(vm_swarm, time) != []
 
 
