--- a/src/marlramp/core/relay_fetch.py
+++ b/src/marlramp/core/relay_fetch.py
@@ -82,26 +82,26 @@
 request or sent a corrupt piece."""
 
 
-class AskEntry(msgspec.Struct, frozen=True):
+class FetchFromPeer(msgspec.Struct, frozen=True):
     """Request a piece from another process."""
 
     peer: str
     index: int
 
 
-class Draw(msgspec.Struct, frozen=True):
+class FetchFromOrigin(msgspec.Struct, frozen=True):
     """Fetch a piece from the origin."""
 
     index: int
 
 
-class Cancel(msgspec.Struct, frozen=True):
+class CancelFetch(msgspec.Struct, frozen=True):
     """Cancel the request for a piece that is late."""
 
     index: int
 
 
-Action: TypeAlias = AskEntry | Draw | Cancel
+Action: TypeAlias = FetchFromPeer | FetchFromOrigin | CancelFetch
 
 
 class _Request(msgspec.Struct, frozen=True):
@@ -300,7 +300,7 @@
                     and index not in self._origin_fetches
                 ):
                     self._requests[index] = _Request(peer, now_ms)
-                    actions.append(AskEntry(peer, index))
+                    actions.append(FetchFromPeer(peer, index))
             elif self._holders.get(index):
                 # Another process holds the piece and can send it soon.
                 continue
@@ -308,7 +308,7 @@
                 index, assignment, now_ms
             ):
                 self._origin_fetches.add(index)
-                actions.append(Draw(index))
+                actions.append(FetchFromOrigin(index))
         return actions
 
     def _cancel_late(self, now_ms: clock.Millis) -> list[Action]:
@@ -319,7 +319,7 @@
         ]
         for index in late:
             self.not_sent(index, self._requests[index].peer, now_ms)
-        return [Cancel(index) for index in late]
+        return [CancelFetch(index) for index in late]
 
     def _source(
         self,
--- a/src/marlramp/direct/weights/piece_relay.py
+++ b/src/marlramp/direct/weights/piece_relay.py
@@ -446,9 +446,9 @@
         )
         for action in actions:
             match action:
-                case relay_fetch.AskEntry():
+                case relay_fetch.FetchFromPeer():
                     version.downloads.start(action.index, action.peer)
-                case relay_fetch.Cancel():
+                case relay_fetch.CancelFetch():
                     version.downloads.cancel(action.index)
-                case relay_fetch.Draw():
+                case relay_fetch.FetchFromOrigin():
                     self._draws.start(version.wanted, action.index)
--- a/tests/core/test_relay_fetch.py
+++ b/tests/core/test_relay_fetch.py
@@ -38,7 +38,7 @@
     return [
         action.index
         for action in fetch.next_actions(time.now_ms())
-        if isinstance(action, relay_fetch.Draw)
+        if isinstance(action, relay_fetch.FetchFromOrigin)
     ]
 
 
@@ -48,7 +48,7 @@
     return {
         action.index: action.peer
         for action in fetch.next_actions(time.now_ms())
-        if isinstance(action, relay_fetch.AskEntry)
+        if isinstance(action, relay_fetch.FetchFromPeer)
     }
 
 
@@ -99,7 +99,7 @@
     fetch.peer_holds("near", [1], time.now_ms())
     time.advance(PIECES * PIECE_MS)
     actions = fetch.next_actions(time.now_ms(), may_draw=False)
-    assert actions == [relay_fetch.AskEntry("near", 1)]
+    assert actions == [relay_fetch.FetchFromPeer("near", 1)]
 
 
 def test_piece_that_agents_of_the_region_hold_is_not_imported(
@@ -282,7 +282,10 @@
     assert peer_requests(fetch, time) == {0: "near"}
     time.advance(relay_fetch.REQUEST_TIMEOUT_MS + 1.0)
     actions = fetch.next_actions(time.now_ms())
-    assert actions == [relay_fetch.Cancel(0), relay_fetch.AskEntry("far", 0)]
+    assert actions == [
+        relay_fetch.CancelFetch(0),
+        relay_fetch.FetchFromPeer("far", 0),
+    ]
 
 
 def test_sender_of_a_corrupt_piece_gets_no_request(
@@ -338,4 +341,7 @@
     assert peer_requests(fetch, time) == {0: "vm-1"}
     time.advance(relay_fetch.REQUEST_TIMEOUT_MS + 1.0)
     actions = fetch.next_actions(time.now_ms())
-    assert actions == [relay_fetch.Cancel(0), relay_fetch.Draw(0)]
+    assert actions == [
+        relay_fetch.CancelFetch(0),
+        relay_fetch.FetchFromOrigin(0),
+    ]
