--- a/src/marlramp/core/relay_fetch.py
+++ b/src/marlramp/core/relay_fetch.py
@@ -167,7 +167,7 @@
             self._first_fetch_ms, now_ms + HOLDER_QUERY_MS
         )
 
-    def set_duties(
+    def set_assignments(
         self,
         assignments: Mapping[int, relay_assignment.Assignment],
         entries: int,
--- a/src/marlramp/direct/weights/piece_relay.py
+++ b/src/marlramp/direct/weights/piece_relay.py
@@ -247,7 +247,7 @@
             self._surroundings.age_ms(version.wanted),
             self._clock.now_ms(),
         )
-        version.fetch.set_duties(
+        version.fetch.set_assignments(
             relay_assignment.assignments(self._own, self._places, pieces),
             len(self._places),
         )
@@ -277,7 +277,7 @@
                 continue
             for name in gone:
                 version.fetch.peer_lost(name)
-            version.fetch.set_duties(
+            version.fetch.set_assignments(
                 relay_assignment.assignments(
                     self._own, places, whole.manifest.chunks
                 ),
--- a/tests/core/test_relay_fetch.py
+++ b/tests/core/test_relay_fetch.py
@@ -28,7 +28,7 @@
 ) -> relay_fetch.RelayFetch:
     age_ms = 0.0 if is_new else None
     fetch = relay_fetch.RelayFetch(PIECE_MS, CONNECTIONS, age_ms, time.now_ms())
-    fetch.set_duties(assignments, ENTRIES)
+    fetch.set_assignments(assignments, ENTRIES)
     return fetch
 
 
@@ -318,7 +318,7 @@
     fetch = relay_fetch.RelayFetch(
         PIECE_MS, CONNECTIONS, 10_000.0, time.now_ms()
     )
-    fetch.set_duties({54: FIRST_IN_ORDER[54]}, ENTRIES)
+    fetch.set_assignments({54: FIRST_IN_ORDER[54]}, ENTRIES)
     fetch.hurry(time.now_ms())
     time.advance(relay_fetch.HOLDER_QUERY_MS)
     assert origin_fetches(fetch, time) == [54]
@@ -328,7 +328,7 @@
     time: clock.ManualClock,
 ) -> None:
     fetch = make(time, FIRST_IN_ORDER)
-    fetch.set_duties(FIRST_IN_ORDER, 44)
+    fetch.set_assignments(FIRST_IN_ORDER, 44)
     time.advance(3 * PIECES * PIECE_MS)
     assert len(origin_fetches(fetch, time)) == 1
 
