--- a/src/marlramp/core/relay_fetch.py
+++ b/src/marlramp/core/relay_fetch.py
@@ -161,7 +161,7 @@
             for s in assignment.sources
         }
 
-    def hurry(self, now_ms: clock.Millis) -> None:
+    def record_demand(self, now_ms: clock.Millis) -> None:
         """Records that an agent lacks the version, which shortens the wait."""
         self._first_fetch_ms = min(
             self._first_fetch_ms, now_ms + HOLDER_QUERY_MS
--- a/src/marlramp/direct/weights/piece_relay.py
+++ b/src/marlramp/direct/weights/piece_relay.py
@@ -255,7 +255,7 @@
             version.fetch.held(index, self._clock.now_ms())
         version.news.extend(sorted(whole.held))
         if version.asked_ms > float("-inf"):
-            version.fetch.hurry(self._clock.now_ms())
+            version.fetch.record_demand(self._clock.now_ms())
         self._wake.set()
 
     # Others.
@@ -318,7 +318,7 @@
         if name not in self._places:
             version.asked_ms = now_ms
             if version.fetch is not None:
-                version.fetch.hurry(now_ms)
+                version.fetch.record_demand(now_ms)
         self._send(name, self._hello(hello.manifest, reply=False))
 
     def _on_have(self, name: str, have: messages.PeerHave) -> None:
--- a/tests/core/test_relay_fetch.py
+++ b/tests/core/test_relay_fetch.py
@@ -78,7 +78,7 @@
     fetch = make(time, FIRST_IN_ORDER, is_new=False)
     time.advance(relay_fetch.NO_DEMAND_WAIT_MS - 1.0)
     assert origin_fetches(fetch, time) == []
-    fetch.hurry(time.now_ms() - 2.0 * relay_fetch.HOLDER_QUERY_MS)
+    fetch.record_demand(time.now_ms() - 2.0 * relay_fetch.HOLDER_QUERY_MS)
     assert origin_fetches(fetch, time) != []
 
 
@@ -86,7 +86,7 @@
     time: clock.ManualClock,
 ) -> None:
     fetch = make(time, FIRST_IN_ORDER, is_new=False)
-    fetch.hurry(time.now_ms())
+    fetch.record_demand(time.now_ms())
     assert origin_fetches(fetch, time) == []
     time.advance(relay_fetch.HOLDER_QUERY_MS)
     assert origin_fetches(fetch, time)[:1] == [0]
@@ -319,7 +319,7 @@
         PIECE_MS, CONNECTIONS, 10_000.0, time.now_ms()
     )
     fetch.set_assignments({54: FIRST_IN_ORDER[54]}, ENTRIES)
-    fetch.hurry(time.now_ms())
+    fetch.record_demand(time.now_ms())
     time.advance(relay_fetch.HOLDER_QUERY_MS)
     assert origin_fetches(fetch, time) == [54]
 
