--- a/src/marlramp/core/relay_fetch.py
+++ b/src/marlramp/core/relay_fetch.py
@@ -208,7 +208,7 @@
             self._origin_fetches.discard(index)
             self._update_ms = now_ms
 
-    def not_sent(
+    def record_failed_request(
         self, index: int, peer: str | None, now_ms: clock.Millis
     ) -> None:
         """Records that a piece did not arrive, or arrived corrupt.
@@ -318,7 +318,9 @@
             if now_ms - request.sent_ms > REQUEST_TIMEOUT_MS
         ]
         for index in late:
-            self.not_sent(index, self._requests[index].peer, now_ms)
+            self.record_failed_request(
+                index, self._requests[index].peer, now_ms
+            )
         return [CancelFetch(index) for index in late]
 
     def _source(
--- a/src/marlramp/direct/weights/piece_relay.py
+++ b/src/marlramp/direct/weights/piece_relay.py
@@ -347,7 +347,9 @@
             return
         if reply.data is None:
             version.downloads.cancel(reply.index)
-            version.fetch.not_sent(reply.index, name, self._clock.now_ms())
+            version.fetch.record_failed_request(
+                reply.index, name, self._clock.now_ms()
+            )
             return
         data = version.downloads.take(reply)
         if data is not None:
@@ -390,7 +392,9 @@
         if not whole.add(index, data):
             self._totals.add(counters.CounterName.CHUNKS_REJECTED, source)
             logs.log("piece_corrupt", index=index, source=peer or source)
-            version.fetch.not_sent(index, peer, self._clock.now_ms())
+            version.fetch.record_failed_request(
+                index, peer, self._clock.now_ms()
+            )
             return
         self._totals.add(counters.CounterName.CHUNKS_RECEIVED, source)
         version.fetch.held(index, self._clock.now_ms())
--- a/tests/core/test_relay_fetch.py
+++ b/tests/core/test_relay_fetch.py
@@ -294,7 +294,7 @@
     fetch = make(time, {0: FIRST_IN_ORDER[0]})
     fetch.peer_holds("near", [0], time.now_ms())
     assert peer_requests(fetch, time) == {0: "near"}
-    fetch.not_sent(0, "near", time.now_ms())
+    fetch.record_failed_request(0, "near", time.now_ms())
     fetch.peer_holds("near", [0], time.now_ms())
     assert peer_requests(fetch, time) == {}
     assert origin_fetches(fetch, time) == []
