--- a/src/marlramp/core/relay_fetch.py
+++ b/src/marlramp/core/relay_fetch.py
@@ -119,7 +119,7 @@
         age_ms: float | None,
         now_ms: clock.Millis,
     ) -> None:
-        """Starts without assignments, until `set_duties` is called.
+        """Starts without assignments, until `set_assignments` is called.
 
         Args:
           piece_ms: time that a piece takes to leave the origin.
@@ -280,14 +280,14 @@
             )
 
     def next_actions(
-        self, now_ms: clock.Millis, *, may_draw: bool = True
+        self, now_ms: clock.Millis, *, may_use_origin: bool = True
     ) -> list[Action]:
         """Returns the requests to send and to cancel now.
 
         Args:
           now_ms: the current time.
-          may_draw: whether the version may be fetched from the origin, because
-            it is the newest one or was requested recently.
+          may_use_origin: whether the version may be fetched from the origin,
+            because it is the newest one or was requested recently.
         """
         actions = self._cancel_late(now_ms)
         for index, assignment in self._assignments.items():
@@ -304,7 +304,7 @@
             elif self._holders.get(index):
                 # Another process holds the piece and can send it soon.
                 continue
-            elif may_draw and self._may_fetch_from_origin(
+            elif may_use_origin and self._may_fetch_from_origin(
                 index, assignment, now_ms
             ):
                 self._origin_fetches.add(index)
--- a/src/marlramp/direct/weights/piece_relay.py
+++ b/src/marlramp/direct/weights/piece_relay.py
@@ -446,7 +446,7 @@
         if version.fetch is None:
             return
         actions = version.fetch.next_actions(
-            self._clock.now_ms(), may_draw=self._may_draw(version)
+            self._clock.now_ms(), may_use_origin=self._may_draw(version)
         )
         for action in actions:
             match action:
--- a/tests/core/test_relay_fetch.py
+++ b/tests/core/test_relay_fetch.py
@@ -98,7 +98,7 @@
     fetch = make(time, FIRST_IN_ORDER)
     fetch.peer_holds("near", [1], time.now_ms())
     time.advance(PIECES * PIECE_MS)
-    actions = fetch.next_actions(time.now_ms(), may_draw=False)
+    actions = fetch.next_actions(time.now_ms(), may_use_origin=False)
     assert actions == [relay_fetch.FetchFromPeer("near", 1)]
 
 
