--- a/src/marlramp/core/relay_fetch.py
+++ b/src/marlramp/core/relay_fetch.py
@@ -199,7 +199,7 @@
             if request.peer == peer:
                 del self._requests[index]
 
-    def held(self, index: int, now_ms: clock.Millis) -> None:
+    def record_held(self, index: int, now_ms: clock.Millis) -> None:
         """Records that this entry now holds a piece."""
         self._held.add(index)
         self._requests.pop(index, None)
--- a/src/marlramp/direct/weights/piece_relay.py
+++ b/src/marlramp/direct/weights/piece_relay.py
@@ -252,7 +252,7 @@
             len(self._places),
         )
         for index in whole.held:
-            version.fetch.held(index, self._clock.now_ms())
+            version.fetch.record_held(index, self._clock.now_ms())
         version.news.extend(sorted(whole.held))
         if version.asked_ms > float("-inf"):
             version.fetch.record_demand(self._clock.now_ms())
@@ -397,7 +397,7 @@
             )
             return
         self._totals.add(counters.CounterName.CHUNKS_RECEIVED, source)
-        version.fetch.held(index, self._clock.now_ms())
+        version.fetch.record_held(index, self._clock.now_ms())
         version.news.append(index)
         self._wake.set()
 
--- a/tests/core/test_relay_fetch.py
+++ b/tests/core/test_relay_fetch.py
@@ -178,7 +178,7 @@
         fetch.origin_failed(index, 100.0, time.now_ms())
     time.advance(100.0)
     (index,) = origin_fetches(fetch, time)
-    fetch.held(index, time.now_ms())
+    fetch.record_held(index, time.now_ms())
     assert (
         len(origin_fetches(fetch, time))
         == relay_fetch.OVERDUE_ORIGIN_FETCHES_MAX
@@ -298,7 +298,7 @@
     fetch.peer_holds("near", [0], time.now_ms())
     assert peer_requests(fetch, time) == {}
     assert origin_fetches(fetch, time) == []
-    fetch.held(0, time.now_ms())
+    fetch.record_held(0, time.now_ms())
     assert fetch.complete
 
 
