--- a/src/marlramp/agent/swarm_node.py
+++ b/src/marlramp/agent/swarm_node.py
@@ -403,7 +403,7 @@
         current = self._current(hello.manifest)
         if current is not None:
             current.peer_reset(peer_id)
-            current.peer_holds(
+            current.record_holdings(
                 peer_id,
                 chunk_bitmap.from_bitmap(hello.held),
                 chunk_bitmap.from_bitmap(hello.seen),
@@ -415,7 +415,7 @@
     def _on_have(self, peer_id: ids.VmId, have: messages.PeerHave) -> None:
         current = self._current(have.manifest)
         if current is not None:
-            current.peer_holds(peer_id, have.indexes, have.seen)
+            current.record_holdings(peer_id, have.indexes, have.seen)
             self._wake.set()
 
     def _on_chunk_reply(
--- a/src/marlramp/core/relay_fetch.py
+++ b/src/marlramp/core/relay_fetch.py
@@ -181,7 +181,7 @@
         self._assignments = assignments
         self._entries = entries
 
-    def peer_holds(
+    def record_holdings(
         self, peer: str, indexes: Collection[int], now_ms: clock.Millis
     ) -> None:
         """Records pieces that another process holds."""
--- a/src/marlramp/core/swarm.py
+++ b/src/marlramp/core/swarm.py
@@ -301,7 +301,7 @@
         orders = rendezvous.balanced_orders(keys, members)
         return [ordered.index(self._vm_id) for ordered in orders]
 
-    def peer_holds(
+    def record_holdings(
         self, peer_id: ids.VmId, indexes: Sequence[int], seen: Sequence[int]
     ) -> None:
         """Records the chunks that a neighbour holds, and those it has seen."""
--- a/src/marlramp/direct/weights/piece_exchange.py
+++ b/src/marlramp/direct/weights/piece_exchange.py
@@ -266,7 +266,7 @@
                 current = self._current(message.manifest)
                 if current is not None:
                     peer = ids.VmId(name)
-                    current.peer_holds(peer, message.indexes, message.seen)
+                    current.record_holdings(peer, message.indexes, message.seen)
                     self._wake.set()
             case fleet_messages.FragmentRequest():
                 self._uploads.request(name, message)
@@ -309,7 +309,7 @@
         if current is not None:
             peer = ids.VmId(name)
             current.peer_reset(peer)
-            current.peer_holds(
+            current.record_holdings(
                 peer,
                 chunk_bitmap.from_bitmap(hello.held),
                 chunk_bitmap.from_bitmap(hello.seen),
--- a/src/marlramp/direct/weights/piece_relay.py
+++ b/src/marlramp/direct/weights/piece_relay.py
@@ -311,7 +311,7 @@
         held = chunk_bitmap.from_bitmap(hello.held)
         version.seen.update(held, chunk_bitmap.from_bitmap(hello.seen))
         if version.fetch is not None:
-            version.fetch.peer_holds(name, held, now_ms)
+            version.fetch.record_holdings(name, held, now_ms)
         if not hello.reply:
             return
         version.listeners.add(name)
@@ -326,7 +326,7 @@
         if version is None or version.fetch is None:
             return
         version.seen.update(have.indexes, have.seen)
-        version.fetch.peer_holds(name, have.indexes, self._clock.now_ms())
+        version.fetch.record_holdings(name, have.indexes, self._clock.now_ms())
 
     def _hello(self, name: str, *, reply: bool) -> messages.PeerHello:
         whole = self._wholes.get(name)
--- a/tests/core/test_relay_fetch.py
+++ b/tests/core/test_relay_fetch.py
@@ -66,8 +66,8 @@
     time: clock.ManualClock,
 ) -> None:
     fetch = make(time, FIRST_IN_ORDER)
-    fetch.peer_holds("far", [0, 1], time.now_ms())
-    fetch.peer_holds("near", [0], time.now_ms())
+    fetch.record_holdings("far", [0, 1], time.now_ms())
+    fetch.record_holdings("near", [0], time.now_ms())
     time.advance(2 * PIECE_MS)
     assert peer_requests(fetch, time) == {0: "near", 1: "far"}
 
@@ -96,7 +96,7 @@
     time: clock.ManualClock,
 ) -> None:
     fetch = make(time, FIRST_IN_ORDER)
-    fetch.peer_holds("near", [1], time.now_ms())
+    fetch.record_holdings("near", [1], time.now_ms())
     time.advance(PIECES * PIECE_MS)
     actions = fetch.next_actions(time.now_ms(), may_use_origin=False)
     assert actions == [relay_fetch.FetchFromPeer("near", 1)]
@@ -108,9 +108,9 @@
     # Entries that restart one after another fetch all their pieces each time,
     # which loads the links between regions.
     fetch = make(time, {0: FIRST_IN_ORDER[0]}, is_new=False)
-    fetch.peer_holds("far", [0], time.now_ms())
+    fetch.record_holdings("far", [0], time.now_ms())
     assert peer_requests(fetch, time) == {}
-    fetch.peer_holds("vm-1", range(PIECES), time.now_ms())
+    fetch.record_holdings("vm-1", range(PIECES), time.now_ms())
     assert peer_requests(fetch, time) == {0: "vm-1"}
 
 
@@ -118,7 +118,7 @@
     time: clock.ManualClock,
 ) -> None:
     fetch = make(time, FIRST_IN_ORDER)
-    fetch.peer_holds("far", range(PIECES), time.now_ms())
+    fetch.record_holdings("far", range(PIECES), time.now_ms())
     assert len(peer_requests(fetch, time)) == relay_fetch.FAR_REQUESTS_MAX
 
 
@@ -127,7 +127,7 @@
 ) -> None:
     fetch = make(time, FIRST_IN_ORDER)
     for name in ("vm-1", "vm-2", "vm-3", "vm-4"):
-        fetch.peer_holds(name, range(PIECES), time.now_ms())
+        fetch.record_holdings(name, range(PIECES), time.now_ms())
     assert len(set(peer_requests(fetch, time).values())) == 4
 
 
@@ -162,7 +162,7 @@
     for index in origin_fetches(fetch, time):
         fetch.origin_failed(index, 100.0, time.now_ms())
     time.advance(relay_fetch.OUTAGE_TAKEOVER_MS - 1.0)
-    fetch.peer_holds("first", [40], time.now_ms())
+    fetch.record_holdings("first", [40], time.now_ms())
     time.advance(relay_fetch.TAKEOVER_MS - 1.0)
     assert origin_fetches(fetch, time) == []
     time.advance(1.0)
@@ -277,8 +277,8 @@
     time: clock.ManualClock,
 ) -> None:
     fetch = make(time, {0: FIRST_IN_ORDER[0]})
-    fetch.peer_holds("near", [0], time.now_ms())
-    fetch.peer_holds("far", [0], time.now_ms())
+    fetch.record_holdings("near", [0], time.now_ms())
+    fetch.record_holdings("far", [0], time.now_ms())
     assert peer_requests(fetch, time) == {0: "near"}
     time.advance(relay_fetch.REQUEST_TIMEOUT_MS + 1.0)
     actions = fetch.next_actions(time.now_ms())
@@ -292,10 +292,10 @@
     time: clock.ManualClock,
 ) -> None:
     fetch = make(time, {0: FIRST_IN_ORDER[0]})
-    fetch.peer_holds("near", [0], time.now_ms())
+    fetch.record_holdings("near", [0], time.now_ms())
     assert peer_requests(fetch, time) == {0: "near"}
     fetch.record_failed_request(0, "near", time.now_ms())
-    fetch.peer_holds("near", [0], time.now_ms())
+    fetch.record_holdings("near", [0], time.now_ms())
     assert peer_requests(fetch, time) == {}
     assert origin_fetches(fetch, time) == []
     fetch.record_held(0, time.now_ms())
@@ -306,7 +306,7 @@
     time: clock.ManualClock,
 ) -> None:
     fetch = make(time, {0: FIRST_IN_ORDER[0]})
-    fetch.peer_holds("near", [0], time.now_ms())
+    fetch.record_holdings("near", [0], time.now_ms())
     fetch.next_actions(time.now_ms())
     fetch.peer_lost("near")
     assert origin_fetches(fetch, time) == [0]
@@ -337,7 +337,7 @@
     time: clock.ManualClock,
 ) -> None:
     fetch = make(time, {0: FIRST_IN_ORDER[0]})
-    fetch.peer_holds("vm-1", range(PIECES), time.now_ms())
+    fetch.record_holdings("vm-1", range(PIECES), time.now_ms())
     assert peer_requests(fetch, time) == {0: "vm-1"}
     time.advance(relay_fetch.REQUEST_TIMEOUT_MS + 1.0)
     actions = fetch.next_actions(time.now_ms())
--- a/tests/core/test_swarm_regions.py
+++ b/tests/core/test_swarm_regions.py
@@ -41,7 +41,7 @@
     time: clock.ManualClock, rng: random.Random
 ) -> None:
     vm_swarm = make(time, rng)
-    vm_swarm.peer_holds(FAR, range(64), [])
+    vm_swarm.record_holdings(FAR, range(64), [])
     imported: set[int] = set()
     for _ in range(80):
         for index in peer_fetches(vm_swarm, time):
@@ -54,8 +54,8 @@
     time: clock.ManualClock, rng: random.Random
 ) -> None:
     vm_swarm = make(time, rng)
-    vm_swarm.peer_holds(FAR, range(64), [])
-    vm_swarm.peer_holds(NEAR[0], range(64), [])
+    vm_swarm.record_holdings(FAR, range(64), [])
+    vm_swarm.record_holdings(NEAR[0], range(64), [])
     assert set(peer_fetches(vm_swarm, time).values()) == {NEAR[0]}
 
 
@@ -63,7 +63,7 @@
     time: clock.ManualClock, rng: random.Random
 ) -> None:
     vm_swarm = make(time, rng)
-    vm_swarm.peer_holds(FAR, range(64), [])
+    vm_swarm.record_holdings(FAR, range(64), [])
     for index in peer_fetches(vm_swarm, time):
         vm_swarm.received(index, FAR, valid=True, now_ms=time.now_ms())
     time.advance(2 * POLICY.import_takeover_ms)
@@ -100,7 +100,7 @@
 ) -> None:
     vm_swarm = make(time, rng)
     for peer in [ids.VmId(f"vm-{n}") for n in range(1, 12)]:
-        vm_swarm.peer_holds(peer, range(64), [])
+        vm_swarm.record_holdings(peer, range(64), [])
     vm_swarm.set_near([ids.VmId(f"vm-{n}") for n in range(1, 12)])
     assert len(peer_fetches(vm_swarm, time)) == POLICY.in_flight_max
 
@@ -119,7 +119,7 @@
 ) -> None:
     vm_swarm = swarm.Swarm(OWN, CHUNKS, set(), POLICY, time.now_ms(), rng)
     assert len(origin_fetches(vm_swarm, time)) == 1
-    vm_swarm.peer_holds(FAR, range(4, 64), [])
+    vm_swarm.record_holdings(FAR, range(4, 64), [])
     assert len(origin_fetches(vm_swarm, time)) == 3
     vm_swarm.origin_failed(0, 200.0, time.now_ms())
     time.advance(200.0)
--- a/tests/core/test_swarm_relays.py
+++ b/tests/core/test_swarm_relays.py
@@ -46,8 +46,8 @@
 ) -> None:
     vm_swarm = make(time, rng)
     for relay in RELAYS:
-        vm_swarm.peer_holds(relay, range(64), [])
-    vm_swarm.peer_holds(NEAR, range(64), [])
+        vm_swarm.record_holdings(relay, range(64), [])
+    vm_swarm.record_holdings(NEAR, range(64), [])
     names = peer_requests(vm_swarm, time)
     assert len(names) == swarm.RELAY_IN_FLIGHT_MAX
     # Each relay gets at most one request.
@@ -59,8 +59,8 @@
     time: clock.ManualClock, rng: random.Random
 ) -> None:
     vm_swarm = make(time, rng)
-    vm_swarm.peer_holds(RELAYS[0], [0], [])
-    vm_swarm.peer_holds(NEAR, [1, 2], [])
+    vm_swarm.record_holdings(RELAYS[0], [0], [])
+    vm_swarm.record_holdings(NEAR, [1, 2], [])
     assert sorted(peer_requests(vm_swarm, time)) == [RELAYS[0], NEAR, NEAR]
 
 
@@ -68,8 +68,8 @@
     time: clock.ManualClock, rng: random.Random
 ) -> None:
     vm_swarm = make(time, rng)
-    vm_swarm.peer_holds(RELAYS[0], [0], [])
-    vm_swarm.peer_holds(NEAR, [0], [])
+    vm_swarm.record_holdings(RELAYS[0], [0], [])
+    vm_swarm.record_holdings(NEAR, [0], [])
     assert peer_requests(vm_swarm, time) == [RELAYS[0]]
     vm_swarm.refused(0, RELAYS[0], time.now_ms())
     assert peer_requests(vm_swarm, time) == [NEAR]
@@ -79,7 +79,7 @@
     time: clock.ManualClock, rng: random.Random
 ) -> None:
     vm_swarm = make(time, rng)
-    vm_swarm.peer_holds(FAR, range(64), [])
+    vm_swarm.record_holdings(FAR, range(64), [])
     assert peer_requests(vm_swarm, time) == []
     time.advance(swarm.RELAY_TIMEOUT_MS - 1.0)
     assert origin_fetches(vm_swarm, time) == []
@@ -105,7 +105,7 @@
     time: clock.ManualClock, rng: random.Random
 ) -> None:
     vm_swarm = make(time, rng)
-    vm_swarm.peer_holds(RELAYS[0], [0], [])
+    vm_swarm.record_holdings(RELAYS[0], [0], [])
     for index in range(64):
         vm_swarm.received(index, None, valid=True, now_ms=time.now_ms())
     assert vm_swarm.settled
--- a/tests/direct/weights/test_standstill.py
+++ b/tests/direct/weights/test_standstill.py
@@ -33,7 +33,7 @@
         time.now_ms(),
         rng,
     )
-    current.peer_holds(ids.VmId("vm-2"), [1], [])
+    current.record_holdings(ids.VmId("vm-2"), [1], [])
     watch = standstill.Standstill(time)
     watch.check(current)
     time.advance(standstill.STANDSTILL_MS - 1.0)
