--- a/src/marlramp/agent/swarm_node.py
+++ b/src/marlramp/agent/swarm_node.py
@@ -402,7 +402,7 @@
     def _on_hello(self, peer_id: ids.VmId, hello: messages.PeerHello) -> None:
         current = self._current(hello.manifest)
         if current is not None:
-            current.peer_reset(peer_id)
+            current.clear_holdings(peer_id)
             current.record_holdings(
                 peer_id,
                 chunk_bitmap.from_bitmap(hello.held),
--- a/src/marlramp/core/swarm.py
+++ b/src/marlramp/core/swarm.py
@@ -315,7 +315,7 @@
             if 0 <= index < self._count:
                 self._mark_seen(index)
 
-    def peer_reset(self, peer_id: ids.VmId) -> None:
+    def clear_holdings(self, peer_id: ids.VmId) -> None:
         """Clears the chunks of a neighbour, before it announces all of them."""
         peer = self._peers.get(peer_id)
         if peer is None:
@@ -326,7 +326,7 @@
 
     def peer_lost(self, peer_id: ids.VmId) -> None:
         """Removes a neighbour; its chunks in flight are requested elsewhere."""
-        self.peer_reset(peer_id)
+        self.clear_holdings(peer_id)
         peer = self._peers.pop(peer_id, None)
         if peer is not None:
             self._fetching.difference_update(peer.in_flight)
--- a/src/marlramp/direct/weights/piece_exchange.py
+++ b/src/marlramp/direct/weights/piece_exchange.py
@@ -308,7 +308,7 @@
         current = self._current(hello.manifest)
         if current is not None:
             peer = ids.VmId(name)
-            current.peer_reset(peer)
+            current.clear_holdings(peer)
             current.record_holdings(
                 peer,
                 chunk_bitmap.from_bitmap(hello.held),
