--- a/src/marlramp/agent/swarm_node.py
+++ b/src/marlramp/agent/swarm_node.py
@@ -327,7 +327,7 @@
     def _drop_channel(self, peer_id: ids.VmId) -> None:
         channel = self._channels.pop(peer_id)
         if self._swarm is not None:
-            self._swarm.peer_lost(peer_id)
+            self._swarm.remove_peer(peer_id)
         if channel.task is not None:
             channel.task.cancel()
         if channel.connector is not None:
--- a/src/marlramp/core/relay_fetch.py
+++ b/src/marlramp/core/relay_fetch.py
@@ -191,7 +191,7 @@
                 self._update_ms = now_ms
             holders.add(peer)
 
-    def peer_lost(self, peer: str) -> None:
+    def remove_peer(self, peer: str) -> None:
         """Removes a process that is lost, and the requests sent to it."""
         for holders in self._holders.values():
             holders.discard(peer)
--- a/src/marlramp/core/swarm.py
+++ b/src/marlramp/core/swarm.py
@@ -324,7 +324,7 @@
             self._holders[index] -= 1
         peer.held.clear()
 
-    def peer_lost(self, peer_id: ids.VmId) -> None:
+    def remove_peer(self, peer_id: ids.VmId) -> None:
         """Removes a neighbour; its chunks in flight are requested elsewhere."""
         self.clear_holdings(peer_id)
         peer = self._peers.pop(peer_id, None)
--- a/src/marlramp/direct/weights/piece_exchange.py
+++ b/src/marlramp/direct/weights/piece_exchange.py
@@ -449,7 +449,7 @@
         horizon_ms = self._clock.now_ms() - PEER_TIMEOUT_MS
         for name in current.peer_ids:
             if self._heard_ms.get(name, 0.0) < horizon_ms:
-                current.peer_lost(name)
+                current.remove_peer(name)
                 self._downloads.drop_peer(name)
 
     def _current(self, name: str) -> swarm.Swarm | None:
--- a/src/marlramp/direct/weights/piece_relay.py
+++ b/src/marlramp/direct/weights/piece_relay.py
@@ -276,7 +276,7 @@
             if version.fetch is None or whole is None:
                 continue
             for name in gone:
-                version.fetch.peer_lost(name)
+                version.fetch.remove_peer(name)
             version.fetch.set_assignments(
                 relay_assignment.assignments(
                     self._own, places, whole.manifest.chunks
--- a/tests/core/test_relay_fetch.py
+++ b/tests/core/test_relay_fetch.py
@@ -308,7 +308,7 @@
     fetch = make(time, {0: FIRST_IN_ORDER[0]})
     fetch.record_holdings("near", [0], time.now_ms())
     fetch.next_actions(time.now_ms())
-    fetch.peer_lost("near")
+    fetch.remove_peer("near")
     assert origin_fetches(fetch, time) == [0]
 
 
