--- a/src/marlramp/agent/swarm_node.py
+++ b/src/marlramp/agent/swarm_node.py
@@ -516,7 +516,7 @@
             logs.log("chunk_unavailable", index=index, detail=error)
             current = self._current(digest)
             if current is not None:
-                current.origin_failed(
+                current.record_origin_failure(
                     index, error.retry_after_ms, self._clock.now_ms()
                 )
             return
--- a/src/marlramp/core/relay_fetch.py
+++ b/src/marlramp/core/relay_fetch.py
@@ -228,7 +228,7 @@
         # The process may be gone. If it is not, it announces its pieces again.
         self._holders.get(index, set()).discard(peer)
 
-    def origin_failed(
+    def record_origin_failure(
         self,
         index: int,
         retry_after_ms: float,
--- a/src/marlramp/core/swarm.py
+++ b/src/marlramp/core/swarm.py
@@ -376,7 +376,7 @@
         peer.not_before_ms = now_ms + BUSY_PENALTY_MS
         self._drop_fetch(index)
 
-    def origin_failed(
+    def record_origin_failure(
         self, index: int, retry_after_ms: float, now_ms: clock.Millis
     ) -> None:
         """Records that the origin did not send a chunk.
--- a/src/marlramp/direct/weights/piece_exchange.py
+++ b/src/marlramp/direct/weights/piece_exchange.py
@@ -423,7 +423,7 @@
         current = self._current(wanted.name)
         if current is not None:
             now_ms = self._clock.now_ms()
-            current.origin_failed(index, retry_after_ms, now_ms)
+            current.record_origin_failure(index, retry_after_ms, now_ms)
 
     def _announce(
         self, current: swarm.Swarm, wanted: version_digests.Wanted
--- a/src/marlramp/direct/weights/piece_relay.py
+++ b/src/marlramp/direct/weights/piece_relay.py
@@ -367,7 +367,7 @@
     ) -> None:
         version = self._versions.get(wanted.name)
         if version is not None and version.fetch is not None:
-            version.fetch.origin_failed(
+            version.fetch.record_origin_failure(
                 index,
                 retry_after_ms,
                 self._clock.now_ms(),
--- a/tests/core/test_relay_fetch.py
+++ b/tests/core/test_relay_fetch.py
@@ -147,7 +147,7 @@
     fetch = make(time, SECOND_IN_ORDER)
     time.advance(relay_fetch.TAKEOVER_MS)
     for index in origin_fetches(fetch, time):
-        fetch.origin_failed(index, 100.0, time.now_ms())
+        fetch.record_origin_failure(index, 100.0, time.now_ms())
     time.advance(relay_fetch.OUTAGE_TAKEOVER_MS - 1.0)
     assert origin_fetches(fetch, time) == []
     time.advance(1.0)
@@ -160,7 +160,7 @@
     fetch = make(time, SECOND_IN_ORDER)
     time.advance(relay_fetch.TAKEOVER_MS)
     for index in origin_fetches(fetch, time):
-        fetch.origin_failed(index, 100.0, time.now_ms())
+        fetch.record_origin_failure(index, 100.0, time.now_ms())
     time.advance(relay_fetch.OUTAGE_TAKEOVER_MS - 1.0)
     fetch.record_holdings("first", [40], time.now_ms())
     time.advance(relay_fetch.TAKEOVER_MS - 1.0)
@@ -175,7 +175,7 @@
     fetch = make(time, FIRST_IN_ORDER)
     time.advance(3 * PIECES * PIECE_MS)
     for index in origin_fetches(fetch, time):
-        fetch.origin_failed(index, 100.0, time.now_ms())
+        fetch.record_origin_failure(index, 100.0, time.now_ms())
     time.advance(100.0)
     (index,) = origin_fetches(fetch, time)
     fetch.record_held(index, time.now_ms())
@@ -196,7 +196,7 @@
     while time.now_ms() < until_ms:
         for index in origin_fetches(fetch, time):
             retries.append((time.now_ms(), index))
-            fetch.origin_failed(index, RETRY_MS, time.now_ms(), missing)
+            fetch.record_origin_failure(index, RETRY_MS, time.now_ms(), missing)
         time.advance(1.0)
     return retries
 
@@ -254,7 +254,9 @@
         for name, fetch in (("first", first), ("second", second)):
             for index in origin_fetches(fetch, time):
                 retries[name].append(time.now_ms() - start_ms)
-                fetch.origin_failed(index, RETRY_MS, time.now_ms(), missing)
+                fetch.record_origin_failure(
+                    index, RETRY_MS, time.now_ms(), missing
+                )
         time.advance(1.0)
     slot_ms = (
         retries["second"][-1] - origin_retry_slots.RANK_OFFSET_PIECES * PIECE_MS
--- a/tests/core/test_swarm_regions.py
+++ b/tests/core/test_swarm_regions.py
@@ -121,6 +121,6 @@
     assert len(origin_fetches(vm_swarm, time)) == 1
     vm_swarm.record_holdings(FAR, range(4, 64), [])
     assert len(origin_fetches(vm_swarm, time)) == 3
-    vm_swarm.origin_failed(0, 200.0, time.now_ms())
+    vm_swarm.record_origin_failure(0, 200.0, time.now_ms())
     time.advance(200.0)
     assert origin_fetches(vm_swarm, time) == [0]
