--- a/src/marlramp/agent/swarm_node.py
+++ b/src/marlramp/agent/swarm_node.py
@@ -529,7 +529,7 @@
         now_ms = self._clock.now_ms()
         if now_ms - self._announced_ms < ANNOUNCE_MS:
             return
-        held, seen = self._swarm.take_news()
+        held, seen = self._swarm.drain_updates()
         quiet = not held and not seen
         since_ms = now_ms - self._announced_ms
         if quiet and (since_ms < KEEPALIVE_MS or self._swarm.settled):
--- a/src/marlramp/core/swarm.py
+++ b/src/marlramp/core/swarm.py
@@ -391,7 +391,7 @@
         self._origin_failed_ms = now_ms
         self._origin_not_before_ms = now_ms + retry_after_ms
 
-    def take_news(self) -> tuple[list[int], list[int]]:
+    def drain_updates(self) -> tuple[list[int], list[int]]:
         """Returns and clears the chunks to announce to neighbours.
 
         Returns:
--- a/src/marlramp/direct/weights/piece_exchange.py
+++ b/src/marlramp/direct/weights/piece_exchange.py
@@ -432,7 +432,7 @@
         since_ms = now_ms - self._announced_ms
         if since_ms < ANNOUNCE_MS:
             return
-        held, seen = current.take_news()
+        held, seen = current.drain_updates()
         quiet = not held and not seen
         if quiet and (since_ms < KEEPALIVE_MS or current.settled):
             return
