--- a/src/marlramp/core/swarm.py
+++ b/src/marlramp/core/swarm.py
@@ -250,7 +250,7 @@
         """Indexes of the chunks that this VM holds."""
         return self._held
 
-    def stands_still(self, now_ms: clock.Millis) -> bool:
+    def is_stalled(self, now_ms: clock.Millis) -> bool:
         """Returns whether no new chunk has arrived for `STALL_MS`."""
         return now_ms - self._progress_ms > STALL_MS
 
--- a/src/marlramp/direct/weights/piece_exchange.py
+++ b/src/marlramp/direct/weights/piece_exchange.py
@@ -184,7 +184,7 @@
         if whole.complete:
             return 0.0
         current = self._current(wanted.name)
-        if current is None or current.stands_still(self._clock.now_ms()):
+        if current is None or current.is_stalled(self._clock.now_ms()):
             return None
         left_bytes = whole.manifest.chunk_bytes * len(current.missing())
         return left_bytes / self._link_bytes_per_s * _MS
