--- a/src/marlramp/core/swarm.py
+++ b/src/marlramp/core/swarm.py
@@ -274,7 +274,7 @@
         self._is_root = self._vm_id == min(members)
         self._ranks = self._ranks_among(self._group_keys, members)
 
-    def set_near(self, vm_ids: Sequence[ids.VmId]) -> None:
+    def set_region_members(self, vm_ids: Sequence[ids.VmId]) -> None:
         """Sets the VMs of the own region; the own VM is added to them.
 
         From then on, one of these VMs fetches each chunk from other regions and
--- a/src/marlramp/direct/weights/piece_exchange.py
+++ b/src/marlramp/direct/weights/piece_exchange.py
@@ -302,7 +302,7 @@
         if self._swarm is None:
             return
         self._swarm.set_members([ids.VmId(name) for name in self._peers])
-        self._swarm.set_near([ids.VmId(name) for name in self._near])
+        self._swarm.set_region_members([ids.VmId(name) for name in self._near])
 
     def _on_hello(self, name: str, hello: messages.PeerHello) -> None:
         current = self._current(hello.manifest)
--- a/tests/core/test_swarm_regions.py
+++ b/tests/core/test_swarm_regions.py
@@ -23,7 +23,7 @@
 def make(time: clock.ManualClock, rng: random.Random) -> swarm.Swarm:
     vm_swarm = swarm.Swarm(OWN, CHUNKS, set(), POLICY, time.now_ms(), rng, 1e9)
     vm_swarm.set_members([*NEAR, FAR])
-    vm_swarm.set_near(NEAR)
+    vm_swarm.set_region_members(NEAR)
     return vm_swarm
 
 
@@ -101,7 +101,7 @@
     vm_swarm = make(time, rng)
     for peer in [ids.VmId(f"vm-{n}") for n in range(1, 12)]:
         vm_swarm.record_holdings(peer, range(64), [])
-    vm_swarm.set_near([ids.VmId(f"vm-{n}") for n in range(1, 12)])
+    vm_swarm.set_region_members([ids.VmId(f"vm-{n}") for n in range(1, 12)])
     assert len(peer_fetches(vm_swarm, time)) == POLICY.in_flight_max
 
 
--- a/tests/core/test_swarm_relays.py
+++ b/tests/core/test_swarm_relays.py
@@ -20,7 +20,7 @@
         ids.VmId("vm-0"), CHUNKS, set(), POLICY, time.now_ms(), rng
     )
     vm_swarm.set_members([NEAR, FAR])
-    vm_swarm.set_near([NEAR])
+    vm_swarm.set_region_members([NEAR])
     vm_swarm.set_relays(RELAYS)
     return vm_swarm
 
