--- a/src/marlramp/agent/swarm_node.py
+++ b/src/marlramp/agent/swarm_node.py
@@ -460,7 +460,7 @@
         if current is None:
             return
         now_ms = self._clock.now_ms()
-        current.received(index, peer_id, valid=valid, now_ms=now_ms)
+        current.record_chunk(index, peer_id, valid=valid, now_ms=now_ms)
         if current.complete:
             self._complete.set()
         self._wake.set()
--- a/src/marlramp/core/swarm.py
+++ b/src/marlramp/core/swarm.py
@@ -331,7 +331,7 @@
         if peer is not None:
             self._fetching.difference_update(peer.in_flight)
 
-    def received(
+    def record_chunk(
         self,
         index: int,
         peer_id: ids.VmId | None,
--- a/src/marlramp/direct/weights/piece_exchange.py
+++ b/src/marlramp/direct/weights/piece_exchange.py
@@ -199,7 +199,7 @@
         current = self._current(wanted.name)
         if current is not None:
             now_ms = self._clock.now_ms()
-            current.received(index, None, valid=True, now_ms=now_ms)
+            current.record_chunk(index, None, valid=True, now_ms=now_ms)
             self._wake.set()
         return True
 
@@ -373,7 +373,7 @@
         if current is not None:
             sender = None if peer is None else ids.VmId(peer)
             now_ms = self._clock.now_ms()
-            current.received(index, sender, valid=valid, now_ms=now_ms)
+            current.record_chunk(index, sender, valid=valid, now_ms=now_ms)
             if current.complete and valid and not known:
                 logs.log("pieces_complete", name=name)
         self.changed.set()
--- a/tests/core/test_swarm_regions.py
+++ b/tests/core/test_swarm_regions.py
@@ -46,7 +46,7 @@
     for _ in range(80):
         for index in peer_fetches(vm_swarm, time):
             imported.add(index)
-            vm_swarm.received(index, FAR, valid=True, now_ms=time.now_ms())
+            vm_swarm.record_chunk(index, FAR, valid=True, now_ms=time.now_ms())
     assert 10 < len(imported) < 32
 
 
@@ -65,14 +65,14 @@
     vm_swarm = make(time, rng)
     vm_swarm.record_holdings(FAR, range(64), [])
     for index in peer_fetches(vm_swarm, time):
-        vm_swarm.received(index, FAR, valid=True, now_ms=time.now_ms())
+        vm_swarm.record_chunk(index, FAR, valid=True, now_ms=time.now_ms())
     time.advance(2 * POLICY.import_takeover_ms)
     missing = set(range(64)) - vm_swarm.held
     while missing:
         imports = peer_fetches(vm_swarm, time)
         assert imports, missing
         for index in imports:
-            vm_swarm.received(index, FAR, valid=True, now_ms=time.now_ms())
+            vm_swarm.record_chunk(index, FAR, valid=True, now_ms=time.now_ms())
         missing -= set(imports)
 
 
@@ -89,7 +89,7 @@
         for action in vm_swarm.next_actions(time.now_ms()):
             if isinstance(action, swarm.FetchFromOrigin):
                 fetched.add(action.index)
-                vm_swarm.received(
+                vm_swarm.record_chunk(
                     action.index, None, valid=True, now_ms=time.now_ms()
                 )
     assert fetched == set(range(57, 64))
--- a/tests/core/test_swarm_relays.py
+++ b/tests/core/test_swarm_relays.py
@@ -107,5 +107,5 @@
     vm_swarm = make(time, rng)
     vm_swarm.record_holdings(RELAYS[0], [0], [])
     for index in range(64):
-        vm_swarm.received(index, None, valid=True, now_ms=time.now_ms())
+        vm_swarm.record_chunk(index, None, valid=True, now_ms=time.now_ms())
     assert vm_swarm.settled
--- a/tests/direct/weights/test_standstill.py
+++ b/tests/direct/weights/test_standstill.py
@@ -59,7 +59,7 @@
     for index in range(3):
         watch.check(current)
         time.advance(standstill.STANDSTILL_MS / 2)
-        current.received(index, None, valid=True, now_ms=time.now_ms())
+        current.record_chunk(index, None, valid=True, now_ms=time.now_ms())
     watch.check(current)
     time.advance(standstill.STANDSTILL_MS)
     watch.check(current)
