--- a/src/marlramp/agent/swarm_node.py
+++ b/src/marlramp/agent/swarm_node.py
@@ -425,7 +425,7 @@
             current = self._current(reply.manifest)
             if current is not None:
                 now_ms = self._clock.now_ms()
-                current.refused(reply.index, peer_id, now_ms)
+                current.record_refusal(reply.index, peer_id, now_ms)
             return
         wait_ms = self._down.reserve(len(reply.data), self._clock.now_ms())
         asyncio.get_running_loop().call_later(
@@ -490,7 +490,7 @@
                         manifest=self._target, index=action.index
                     )
                     if not self._send(action.peer_id, request):
-                        self._swarm.refused(
+                        self._swarm.record_refusal(
                             action.index, action.peer_id, self._clock.now_ms()
                         )
                 case swarm.CancelFetch():
--- a/src/marlramp/core/swarm.py
+++ b/src/marlramp/core/swarm.py
@@ -365,7 +365,7 @@
         self._unsent_held.append(index)
         self._progress_ms = now_ms
 
-    def refused(
+    def record_refusal(
         self, index: int, peer_id: ids.VmId, now_ms: clock.Millis
     ) -> None:
         """Records that a neighbour refused to send a chunk now."""
--- a/src/marlramp/direct/weights/piece_exchange.py
+++ b/src/marlramp/direct/weights/piece_exchange.py
@@ -348,7 +348,7 @@
         if reply.data is None:
             self._downloads.cancel(reply.index)
             now_ms = self._clock.now_ms()
-            current.refused(reply.index, ids.VmId(name), now_ms)
+            current.record_refusal(reply.index, ids.VmId(name), now_ms)
             return
         data = self._downloads.take(reply)
         if data is not None:
--- a/tests/core/test_swarm_relays.py
+++ b/tests/core/test_swarm_relays.py
@@ -71,7 +71,7 @@
     vm_swarm.record_holdings(RELAYS[0], [0], [])
     vm_swarm.record_holdings(NEAR, [0], [])
     assert peer_requests(vm_swarm, time) == [RELAYS[0]]
-    vm_swarm.refused(0, RELAYS[0], time.now_ms())
+    vm_swarm.record_refusal(0, RELAYS[0], time.now_ms())
     assert peer_requests(vm_swarm, time) == [NEAR]
 
 
