--- a/src/marlramp/core/origin_requests.py
+++ b/src/marlramp/core/origin_requests.py
@@ -58,7 +58,7 @@
         """Returns whether the first agents' answer should have arrived."""
         return now_ms - self._since_ms >= TAKEOVER_MS
 
-    def failed(self, agents: int, now_ms: clock.Millis) -> None:
+    def record_failure(self, agents: int, now_ms: clock.Millis) -> None:
         """Records that the origin did not answer a request.
 
         Args:
--- a/src/marlramp/direct/weights/version_digests.py
+++ b/src/marlramp/direct/weights/version_digests.py
@@ -182,7 +182,7 @@
         except clients.PlatformError as error:
             logs.log("manifest_unavailable", name=wanted.name, detail=error)
             agents = 1 + len(list(self._peers()))
-            asks.failed(agents, self._clock.now_ms())
+            asks.record_failure(agents, self._clock.now_ms())
             return
         self._take_manifest(wanted.name, found)
 
