--- a/src/marlramp/core/prober.py
+++ b/src/marlramp/core/prober.py
@@ -61,13 +61,13 @@
 them down and others do not."""
 
 
-class Ask(msgspec.Struct, frozen=True):
+class DirectProbe(msgspec.Struct, frozen=True):
     """Probe an entry directly."""
 
     vm_id: str
 
 
-class AskThrough(msgspec.Struct, frozen=True):
+class IndirectProbe(msgspec.Struct, frozen=True):
     """Probe a silent entry through other entries.
 
     Attributes:
@@ -85,7 +85,7 @@
     vm_id: str
 
 
-Action: TypeAlias = Ask | AskThrough | Suspect
+Action: TypeAlias = DirectProbe | IndirectProbe | Suspect
 
 
 class _PendingProbe(msgspec.Struct):
@@ -144,7 +144,7 @@
         for vm_id in targets:
             if vm_id not in self._pending:
                 self._pending[vm_id] = _PendingProbe(now_ms)
-                actions.append(Ask(vm_id))
+                actions.append(DirectProbe(vm_id))
         return actions
 
     def _follow_up(self, now_ms: clock.Millis) -> list[Action]:
@@ -165,7 +165,7 @@
                 probe.indirect = True
                 helpers = self._helpers(vm_id)
                 if helpers:
-                    actions.append(AskThrough(vm_id, helpers))
+                    actions.append(IndirectProbe(vm_id, helpers))
         return actions
 
     def _next_targets(self, now_ms: clock.Millis) -> list[str]:
--- a/src/marlramp/direct/fleet/member_sync.py
+++ b/src/marlramp/direct/fleet/member_sync.py
@@ -233,9 +233,9 @@
         self._greet_seeds(now_ms)
         for action in self._prober.tick(now_ms):
             match action:
-                case prober.Ask():
+                case prober.DirectProbe():
                     self.send(action.vm_id, self._ping())
-                case prober.AskThrough():
+                case prober.IndirectProbe():
                     request = fleet_messages.ProbeRequest(vm_id=action.vm_id)
                     self.send_all(action.helpers, request)
                 case prober.Suspect():
