--- a/src/marlramp/core/prober.py
+++ b/src/marlramp/core/prober.py
@@ -123,7 +123,7 @@
         self._down_probe_ms = float("-inf")
         self._tick_ms = float("-inf")
 
-    def vouched(self, vm_id: str) -> None:
+    def record_indirect_answer(self, vm_id: str) -> None:
         """Records that an indirect probe of an entry was answered."""
         self._pending.pop(vm_id, None)
 
--- a/src/marlramp/direct/fleet/member_sync.py
+++ b/src/marlramp/direct/fleet/member_sync.py
@@ -306,7 +306,7 @@
                 self._on_probe_request(name, message.vm_id)
                 return True
             case fleet_messages.ProbeReply():
-                self._prober.vouched(message.vm_id)
+                self._prober.record_indirect_answer(message.vm_id)
                 return True
             case fleet_messages.RosterRequest():
                 self._on_roster_request(name, message)
