--- a/src/marlramp/agent/engine_client.py
+++ b/src/marlramp/agent/engine_client.py
@@ -54,7 +54,7 @@
         ...
 
     async def stage(
-        self, version: ids.VersionId, whole: manifest.Whole
+        self, version: ids.VersionId, whole: manifest.ChunkSet
     ) -> None:
         """Hands verified weights to the engine without loading them."""
         ...
@@ -68,7 +68,7 @@
         ...
 
 
-def _pieces(whole: manifest.Whole) -> Iterator[bytes]:
+def _pieces(whole: manifest.ChunkSet) -> Iterator[bytes]:
     """Yields the weights in pieces of several chunks, to save calls."""
     piece = bytearray()
     for index in range(len(whole.manifest.chunks)):
@@ -110,7 +110,7 @@
             raise EngineError(f"malformed load report: {error}") from error
 
     async def stage(
-        self, version: ids.VersionId, whole: manifest.Whole
+        self, version: ids.VersionId, whole: manifest.ChunkSet
     ) -> None:
         """Hands verified weights to the engine without loading them."""
         for number, piece in enumerate(_pieces(whole)):
--- a/src/marlramp/agent/rollout.py
+++ b/src/marlramp/agent/rollout.py
@@ -263,7 +263,7 @@
             await self._swap_permitted(target)
 
     async def _stage(
-        self, version: ids.VersionId, whole: manifest.Whole
+        self, version: ids.VersionId, whole: manifest.ChunkSet
     ) -> None:
         if self._staged != version:
             self._set_note("staging weights")
--- a/src/marlramp/agent/swarm_node.py
+++ b/src/marlramp/agent/swarm_node.py
@@ -128,7 +128,7 @@
         self._down = pacing.Pacer(self._link_bytes_per_s)
         self._decoder = codec.peer_decoder()
         self._channels: dict[ids.VmId, _Channel] = {}
-        self._wholes: collections.OrderedDict[ids.Digest, manifest.Whole] = (
+        self._wholes: collections.OrderedDict[ids.Digest, manifest.ChunkSet] = (
             collections.OrderedDict()
         )
         self._manifest_bytes: dict[ids.Digest, bytes] = {}
@@ -164,7 +164,7 @@
             return 0, 0
         return len(whole.held), len(whole.manifest.chunks)
 
-    def whole(self, digest: ids.Digest) -> manifest.Whole | None:
+    def whole(self, digest: ids.Digest) -> manifest.ChunkSet | None:
         """Returns the chunks held of a manifest, None if it is unknown."""
         return self._wholes.get(digest)
 
@@ -209,7 +209,7 @@
             attempt += 1
         return self._wholes[digest].manifest
 
-    async def fetch(self, digest: ids.Digest) -> manifest.Whole:
+    async def fetch(self, digest: ids.Digest) -> manifest.ChunkSet:
         """Fetches every chunk of a manifest that is known.
 
         A fetch of another manifest replaces one under way; chunks in common
@@ -253,7 +253,7 @@
             self._totals.add(counters.CounterName.CHUNKS_REJECTED, "manifest")
             logs.log("manifest_refused", manifest=digest, detail=error)
             return
-        whole = manifest.Whole(parsed)
+        whole = manifest.ChunkSet(parsed)
         kept = sum(whole.adopt(other) for other in self._wholes.values())
         self._wholes[digest] = whole
         self._manifest_bytes[digest] = data
--- a/src/marlramp/agent/uploads.py
+++ b/src/marlramp/agent/uploads.py
@@ -29,7 +29,7 @@
 
     def __init__(
         self,
-        whole_of: Callable[[ids.Digest], manifest.Whole | None],
+        whole_of: Callable[[ids.Digest], manifest.ChunkSet | None],
         send: Callable[[ids.VmId, messages.FromPeer], bool],
         time: clock.Clock,
         bytes_per_s: float,
--- a/src/marlramp/core/manifest.py
+++ b/src/marlramp/core/manifest.py
@@ -95,7 +95,7 @@
     )
 
 
-class Whole:
+class ChunkSet:
     """Verified chunks of one manifest that this VM holds."""
 
     def __init__(
@@ -144,7 +144,7 @@
         self._chunks[index] = data
         return True
 
-    def adopt(self, other: Whole) -> int:
+    def adopt(self, other: ChunkSet) -> int:
         """Copies the verified chunks that both manifests list.
 
         Returns:
--- a/src/marlramp/direct/weights/piece_exchange.py
+++ b/src/marlramp/direct/weights/piece_exchange.py
@@ -168,7 +168,7 @@
         self._link_peers()
         self._place_in_swarm()
 
-    def whole(self, wanted: version_digests.Wanted) -> manifest.Whole | None:
+    def whole(self, wanted: version_digests.Wanted) -> manifest.ChunkSet | None:
         """Returns the pieces held of a version, None if it is unknown."""
         return self._wholes.get(wanted.name)
 
@@ -205,7 +205,7 @@
 
     async def find_manifest(
         self, wanted: version_digests.Wanted
-    ) -> manifest.Whole:
+    ) -> manifest.ChunkSet:
         """Learns the digests of a version from the origin or neighbours."""
         # Links first: without them nobody hears the digests but from the
         # origin, which all of a fleet may ask at once.
--- a/src/marlramp/direct/weights/piece_uploads.py
+++ b/src/marlramp/direct/weights/piece_uploads.py
@@ -51,7 +51,7 @@
 
     def __init__(
         self,
-        wholes: Mapping[str, manifest.Whole],
+        wholes: Mapping[str, manifest.ChunkSet],
         send: Callable[[str, msgspec.Struct], bool],
         bytes_per_s: float,
         time: clock.Clock,
--- a/src/marlramp/direct/weights/version_digests.py
+++ b/src/marlramp/direct/weights/version_digests.py
@@ -105,11 +105,11 @@
         self._asked_by: dict[str, set[str]] = {}
         self._news = asyncio.Event()
         self.origin: Origin | None = None
-        self.wholes: collections.OrderedDict[str, manifest.Whole] = (
+        self.wholes: collections.OrderedDict[str, manifest.ChunkSet] = (
             collections.OrderedDict()
         )
 
-    async def find(self, wanted: Wanted) -> manifest.Whole:
+    async def find(self, wanted: Wanted) -> manifest.ChunkSet:
         """Learns the digests of a version from the origin or neighbours."""
         asks = origin_requests.OriginRequests(self._clock.now_ms(), self._rng)
         asking: asyncio.Task[None] | None = None
@@ -197,7 +197,7 @@
     def _take_manifest(self, name: str, found: manifest.Manifest) -> None:
         if name in self.wholes:
             return
-        whole = manifest.Whole(found, manifest.sha256_of)
+        whole = manifest.ChunkSet(found, manifest.sha256_of)
         kept = sum(whole.adopt(other) for other in self.wholes.values())
         self.wholes[name] = whole
         self._news.set()
--- a/src/marlramp/direct/weights/weights_loader.py
+++ b/src/marlramp/direct/weights/weights_loader.py
@@ -218,7 +218,7 @@
         await asyncio.sleep(LOAD_POLL_MS / _MS)
 
     async def _adopt_staged(
-        self, wanted: version_digests.Wanted, whole: manifest.Whole
+        self, wanted: version_digests.Wanted, whole: manifest.ChunkSet
     ) -> None:
         """Takes over what is staged already and right."""
         self._staged = set()
@@ -241,7 +241,7 @@
         )
 
     async def _stage_new(
-        self, wanted: version_digests.Wanted, whole: manifest.Whole
+        self, wanted: version_digests.Wanted, whole: manifest.ChunkSet
     ) -> None:
         """Stages what is held and not staged yet."""
         missing = sorted(whole.held - self._staged)
@@ -282,7 +282,7 @@
     async def _load(
         self,
         wanted: version_digests.Wanted,
-        whole: manifest.Whole,
+        whole: manifest.ChunkSet,
         *,
         serving: bool,
     ) -> None:
@@ -349,7 +349,7 @@
             await asyncio.sleep(LOAD_POLL_MS / _MS)
 
     async def _mend_staged(
-        self, wanted: version_digests.Wanted, whole: manifest.Whole
+        self, wanted: version_digests.Wanted, whole: manifest.ChunkSet
     ) -> None:
         """Reads back every staged piece and replaces what is wrong."""
         if self._clock.now_ms() - self._verified_ms < VERIFIED_FRESH_MS:
--- a/src/marlramp/experiments/spread.py
+++ b/src/marlramp/experiments/spread.py
@@ -358,7 +358,7 @@
             self._note(name, whole)
         self.whole_ms[name] = self.time.now_ms()
 
-    def _note(self, name: str, whole: manifest.Whole) -> None:
+    def _note(self, name: str, whole: manifest.ChunkSet) -> None:
         now_ms = self.time.now_ms()
         held = whole.held
         if held:
--- a/tests/agent/replicas.py
+++ b/tests/agent/replicas.py
@@ -24,10 +24,10 @@
 SERVICE = ids.ServiceId("pool")
 
 
-def whole_of(version: str) -> manifest.Whole:
+def whole_of(version: str) -> manifest.ChunkSet:
     """Returns complete weights of one chunk."""
     data = version.encode()
-    found = manifest.Whole(
+    found = manifest.ChunkSet(
         manifest.Manifest(
             model="stand",
             version=version,
@@ -65,7 +65,7 @@
     async def fetch_manifest(self, digest: ids.Digest) -> manifest.Manifest:
         return self._wholes[digest].manifest
 
-    async def fetch(self, digest: ids.Digest) -> manifest.Whole:
+    async def fetch(self, digest: ids.Digest) -> manifest.ChunkSet:
         return self._wholes[digest]
 
 
@@ -86,7 +86,7 @@
         return engine_client.LoadReport(0, 0)
 
     async def stage(
-        self, version: ids.VersionId, whole: manifest.Whole
+        self, version: ids.VersionId, whole: manifest.ChunkSet
     ) -> None:
         pass
 
--- a/tests/direct/weights/test_piece_uploads.py
+++ b/tests/direct/weights/test_piece_uploads.py
@@ -30,7 +30,7 @@
 
 
 @pytest.fixture
-def whole() -> manifest.Whole:
+def whole() -> manifest.ChunkSet:
     found = manifest.Manifest(
         model="m",
         version="2",
@@ -39,7 +39,7 @@
         chunks=[hashlib.sha256(PIECE).hexdigest()] * 2,
         whole="",
     )
-    made = manifest.Whole(found, manifest.sha256_of)
+    made = manifest.ChunkSet(found, manifest.sha256_of)
     made.add(0, PIECE)
     return made
 
@@ -51,7 +51,7 @@
 
 
 async def serve(
-    whole: manifest.Whole,
+    whole: manifest.ChunkSet,
     requests: list[tuple[str, fleet_messages.FragmentRequest]],
 ) -> Sent:
     sent = Sent()
@@ -66,7 +66,7 @@
     return sent
 
 
-def test_piece_begun_first_is_sent_first(whole: manifest.Whole) -> None:
+def test_piece_begun_first_is_sent_first(whole: manifest.ChunkSet) -> None:
     """Else all that ask at once hold a whole piece only at the very end."""
     receivers = [f"vm-{n}" for n in range(4)]
     asked = [(r, request(0, n)) for n in range(4) for r in receivers]
@@ -76,12 +76,12 @@
     ]
 
 
-def test_what_is_not_held_is_refused_at_once(whole: manifest.Whole) -> None:
+def test_what_is_not_held_is_refused_at_once(whole: manifest.ChunkSet) -> None:
     sent = asyncio.run(serve(whole, [("vm-1", request(1, 0))]))
     assert [reply.data for _, reply in sent.replies] == [None]
 
 
-def test_what_can_not_be_sent_soon_is_refused(whole: manifest.Whole) -> None:
+def test_what_can_not_be_sent_soon_is_refused(whole: manifest.ChunkSet) -> None:
     many = piece_uploads.UPLOADS_MAX + 5
     asked = [(f"vm-{n}", request(0, 0)) for n in range(many)]
     sent = asyncio.run(serve(whole, asked))
--- a/tests/direct/weights/test_weights_loader.py
+++ b/tests/direct/weights/test_weights_loader.py
@@ -30,13 +30,13 @@
     """Knows the digests; holds what it is given."""
 
     def __init__(self) -> None:
-        self.whole = manifest.Whole(FOUND, manifest.sha256_of)
+        self.whole = manifest.ChunkSet(FOUND, manifest.sha256_of)
         self.wants = 0
         self.changed = asyncio.Event()
 
     async def find_manifest(
         self, wanted: version_digests.Wanted
-    ) -> manifest.Whole:
+    ) -> manifest.ChunkSet:
         return self.whole
 
     def want(self, wanted: version_digests.Wanted, *, is_new: bool) -> None:
