--- a/src/marlramp/agent/swarm_node.py
+++ b/src/marlramp/agent/swarm_node.py
@@ -254,7 +254,9 @@
             logs.log("manifest_refused", manifest=digest, detail=error)
             return
         whole = manifest.ChunkSet(parsed)
-        kept = sum(whole.adopt(other) for other in self._wholes.values())
+        kept = sum(
+            whole.copy_common_chunks(other) for other in self._wholes.values()
+        )
         self._wholes[digest] = whole
         self._manifest_bytes[digest] = data
         logs.log("manifest_known", manifest=digest, chunks_kept=kept)
--- a/src/marlramp/core/manifest.py
+++ b/src/marlramp/core/manifest.py
@@ -144,7 +144,7 @@
         self._chunks[index] = data
         return True
 
-    def adopt(self, other: ChunkSet) -> int:
+    def copy_common_chunks(self, other: ChunkSet) -> int:
         """Copies the verified chunks that both manifests list.
 
         Returns:
--- a/src/marlramp/direct/weights/version_digests.py
+++ b/src/marlramp/direct/weights/version_digests.py
@@ -198,7 +198,9 @@
         if name in self.wholes:
             return
         whole = manifest.ChunkSet(found, manifest.sha256_of)
-        kept = sum(whole.adopt(other) for other in self.wholes.values())
+        kept = sum(
+            whole.copy_common_chunks(other) for other in self.wholes.values()
+        )
         self.wholes[name] = whole
         self._news.set()
         logs.log("manifest_known", name=name, pieces_kept=kept)
