--- a/src/marlramp/agent/rollout.py
+++ b/src/marlramp/agent/rollout.py
@@ -244,7 +244,7 @@
     ) -> None:
         self._set_note("fetching weights")
         whole = await self._node.fetch(digest)
-        if not await asyncio.to_thread(whole.verify_whole):
+        if not await asyncio.to_thread(whole.verify_digest):
             raise engine_client.EngineError("weights differ from the manifest")
         target = self._target
         if target is None:
--- a/src/marlramp/core/manifest.py
+++ b/src/marlramp/core/manifest.py
@@ -160,7 +160,7 @@
                 self._chunks[index] = by_digest[digest]
         return len(self._chunks) - before
 
-    def verify_whole(self) -> bool:
+    def verify_digest(self) -> bool:
         """Returns whether all chunks are held and match the total digest."""
         if not self.complete:
             return False
