--- a/src/marlramp/core/manifest.py
+++ b/src/marlramp/core/manifest.py
@@ -71,16 +71,24 @@
         is malformed, or if its sizes and its chunk count disagree.
     """
     if digest_of(data) != expected:
-        raise ManifestError("digest differs from the one published")
+        raise ManifestError(
+            f"digest {digest_of(data)} differs from the published {expected}"
+        )
     try:
         manifest = _decoder.decode(data)
     except msgspec.DecodeError as error:
         raise ManifestError(f"malformed: {error}") from error
     if manifest.chunk_bytes <= 0 or manifest.total_bytes <= 0:
-        raise ManifestError("sizes must be positive")
+        raise ManifestError(
+            f"chunk_bytes {manifest.chunk_bytes} and total_bytes "
+            f"{manifest.total_bytes} must be positive"
+        )
     count = -(-manifest.total_bytes // manifest.chunk_bytes)
     if count != len(manifest.chunks) or count > CHUNKS_MAX:
-        raise ManifestError("chunk count does not match the sizes")
+        raise ManifestError(
+            f"{len(manifest.chunks)} chunks are listed, {count} match the "
+            f"sizes, at most {CHUNKS_MAX} are allowed"
+        )
     return manifest
 
 
--- a/src/marlramp/core/origin_requests.py
+++ b/src/marlramp/core/origin_requests.py
@@ -55,7 +55,7 @@
         return now_ms >= max(self._since_ms + delay_ms, self._not_before_ms)
 
     def overdue(self, now_ms: clock.Millis) -> bool:
-        """Returns whether the first agents' answer should have arrived."""
+        """Returns whether the first agents should have sent the digests on."""
         return now_ms - self._since_ms >= TAKEOVER_MS
 
     def record_failure(self, agents: int, now_ms: clock.Millis) -> None:
--- a/src/marlramp/core/relay_fetch.py
+++ b/src/marlramp/core/relay_fetch.py
@@ -105,6 +105,8 @@
 
 
 class _Request(msgspec.Struct, frozen=True):
+    """A request for a piece that was sent to another process."""
+
     peer: str
     sent_ms: float
 
--- a/src/marlramp/core/swarm.py
+++ b/src/marlramp/core/swarm.py
@@ -3,7 +3,7 @@
 The origin sends each chunk once: its fetcher is the first VM in the rendezvous
 order of the chunk's group. All fetchers process the chunks in one common order,
 within a window that advances as chunks are seen on any VM. The first chunks
-therefore leave the origin early, instead of all chunks arriving late together.
+therefore leave the origin early, instead of all chunks leaving it together.
 Neighbours announce to each other the chunks that they hold and those that they
 have seen. A VM fetches all other chunks from its neighbours, rarest first.
 """
