--- a/src/marlramp/agent/swarm_node.py
+++ b/src/marlramp/agent/swarm_node.py
@@ -128,7 +128,7 @@
         self._down = pacing.Pacer(self._link_bytes_per_s)
         self._decoder = codec.peer_decoder()
         self._channels: dict[ids.VmId, _Channel] = {}
-        self._wholes: collections.OrderedDict[ids.Digest, manifest.Whole] = (
+        self._wholes: collections.OrderedDict[ids.Digest, manifest.ChunkSet] = (
             collections.OrderedDict()
         )
         self._manifest_bytes: dict[ids.Digest, bytes] = {}
@@ -164,7 +164,7 @@
             return 0, 0
         return len(whole.held), len(whole.manifest.chunks)
 
-    def whole(self, digest: ids.Digest) -> manifest.Whole | None:
+    def whole(self, digest: ids.Digest) -> manifest.ChunkSet | None:
         """Returns the chunks held of a manifest, None if it is unknown."""
         return self._wholes.get(digest)
 
@@ -209,7 +209,7 @@
             attempt += 1
         return self._wholes[digest].manifest
 
-    async def fetch(self, digest: ids.Digest) -> manifest.Whole:
+    async def fetch(self, digest: ids.Digest) -> manifest.ChunkSet:
         """Fetches every chunk of a manifest that is known.
 
         A fetch of another manifest replaces one under way; chunks in common
@@ -253,8 +253,10 @@
             self._totals.add(counters.CounterName.CHUNKS_REJECTED, "manifest")
             logs.log("manifest_refused", manifest=digest, detail=error)
             return
-        whole = manifest.Whole(parsed)
-        kept = sum(whole.adopt(other) for other in self._wholes.values())
+        whole = manifest.ChunkSet(parsed)
+        kept = sum(
+            whole.copy_common_chunks(other) for other in self._wholes.values()
+        )
         self._wholes[digest] = whole
         self._manifest_bytes[digest] = data
         logs.log("manifest_known", manifest=digest, chunks_kept=kept)
@@ -327,7 +329,7 @@
     def _drop_channel(self, peer_id: ids.VmId) -> None:
         channel = self._channels.pop(peer_id)
         if self._swarm is not None:
-            self._swarm.peer_lost(peer_id)
+            self._swarm.remove_peer(peer_id)
         if channel.task is not None:
             channel.task.cancel()
         if channel.connector is not None:
@@ -402,8 +404,8 @@
     def _on_hello(self, peer_id: ids.VmId, hello: messages.PeerHello) -> None:
         current = self._current(hello.manifest)
         if current is not None:
-            current.peer_reset(peer_id)
-            current.peer_holds(
+            current.clear_holdings(peer_id)
+            current.record_holdings(
                 peer_id,
                 chunk_bitmap.from_bitmap(hello.held),
                 chunk_bitmap.from_bitmap(hello.seen),
@@ -415,7 +417,7 @@
     def _on_have(self, peer_id: ids.VmId, have: messages.PeerHave) -> None:
         current = self._current(have.manifest)
         if current is not None:
-            current.peer_holds(peer_id, have.indexes, have.seen)
+            current.record_holdings(peer_id, have.indexes, have.seen)
             self._wake.set()
 
     def _on_chunk_reply(
@@ -425,7 +427,7 @@
             current = self._current(reply.manifest)
             if current is not None:
                 now_ms = self._clock.now_ms()
-                current.refused(reply.index, peer_id, now_ms)
+                current.record_refusal(reply.index, peer_id, now_ms)
             return
         wait_ms = self._down.reserve(len(reply.data), self._clock.now_ms())
         asyncio.get_running_loop().call_later(
@@ -460,7 +462,7 @@
         if current is None:
             return
         now_ms = self._clock.now_ms()
-        current.received(index, peer_id, valid=valid, now_ms=now_ms)
+        current.record_chunk(index, peer_id, valid=valid, now_ms=now_ms)
         if current.complete:
             self._complete.set()
         self._wake.set()
@@ -490,7 +492,7 @@
                         manifest=self._target, index=action.index
                     )
                     if not self._send(action.peer_id, request):
-                        self._swarm.refused(
+                        self._swarm.record_refusal(
                             action.index, action.peer_id, self._clock.now_ms()
                         )
                 case swarm.CancelFetch():
@@ -516,7 +518,7 @@
             logs.log("chunk_unavailable", index=index, detail=error)
             current = self._current(digest)
             if current is not None:
-                current.origin_failed(
+                current.record_origin_failure(
                     index, error.retry_after_ms, self._clock.now_ms()
                 )
             return
@@ -529,7 +531,7 @@
         now_ms = self._clock.now_ms()
         if now_ms - self._announced_ms < ANNOUNCE_MS:
             return
-        held, seen = self._swarm.take_news()
+        held, seen = self._swarm.drain_updates()
         quiet = not held and not seen
         since_ms = now_ms - self._announced_ms
         if quiet and (since_ms < KEEPALIVE_MS or self._swarm.settled):
--- a/src/marlramp/direct/weights/piece_exchange.py
+++ b/src/marlramp/direct/weights/piece_exchange.py
@@ -168,7 +168,7 @@
         self._link_peers()
         self._place_in_swarm()
 
-    def whole(self, wanted: version_digests.Wanted) -> manifest.Whole | None:
+    def whole(self, wanted: version_digests.Wanted) -> manifest.ChunkSet | None:
         """Returns the pieces held of a version, None if it is unknown."""
         return self._wholes.get(wanted.name)
 
@@ -184,7 +184,7 @@
         if whole.complete:
             return 0.0
         current = self._current(wanted.name)
-        if current is None or current.stands_still(self._clock.now_ms()):
+        if current is None or current.is_stalled(self._clock.now_ms()):
             return None
         left_bytes = whole.manifest.chunk_bytes * len(current.missing())
         return left_bytes / self._link_bytes_per_s * _MS
@@ -199,13 +199,13 @@
         current = self._current(wanted.name)
         if current is not None:
             now_ms = self._clock.now_ms()
-            current.received(index, None, valid=True, now_ms=now_ms)
+            current.record_chunk(index, None, valid=True, now_ms=now_ms)
             self._wake.set()
         return True
 
     async def find_manifest(
         self, wanted: version_digests.Wanted
-    ) -> manifest.Whole:
+    ) -> manifest.ChunkSet:
         """Learns the digests of a version from the origin or neighbours."""
         # Links first: without them nobody hears the digests but from the
         # origin, which all of a fleet may ask at once.
@@ -266,7 +266,7 @@
                 current = self._current(message.manifest)
                 if current is not None:
                     peer = ids.VmId(name)
-                    current.peer_holds(peer, message.indexes, message.seen)
+                    current.record_holdings(peer, message.indexes, message.seen)
                     self._wake.set()
             case fleet_messages.FragmentRequest():
                 self._uploads.request(name, message)
@@ -302,14 +302,14 @@
         if self._swarm is None:
             return
         self._swarm.set_members([ids.VmId(name) for name in self._peers])
-        self._swarm.set_near([ids.VmId(name) for name in self._near])
+        self._swarm.set_region_members([ids.VmId(name) for name in self._near])
 
     def _on_hello(self, name: str, hello: messages.PeerHello) -> None:
         current = self._current(hello.manifest)
         if current is not None:
             peer = ids.VmId(name)
-            current.peer_reset(peer)
-            current.peer_holds(
+            current.clear_holdings(peer)
+            current.record_holdings(
                 peer,
                 chunk_bitmap.from_bitmap(hello.held),
                 chunk_bitmap.from_bitmap(hello.seen),
@@ -348,7 +348,7 @@
         if reply.data is None:
             self._downloads.cancel(reply.index)
             now_ms = self._clock.now_ms()
-            current.refused(reply.index, ids.VmId(name), now_ms)
+            current.record_refusal(reply.index, ids.VmId(name), now_ms)
             return
         data = self._downloads.take(reply)
         if data is not None:
@@ -373,7 +373,7 @@
         if current is not None:
             sender = None if peer is None else ids.VmId(peer)
             now_ms = self._clock.now_ms()
-            current.received(index, sender, valid=valid, now_ms=now_ms)
+            current.record_chunk(index, sender, valid=valid, now_ms=now_ms)
             if current.complete and valid and not known:
                 logs.log("pieces_complete", name=name)
         self.changed.set()
@@ -423,7 +423,7 @@
         current = self._current(wanted.name)
         if current is not None:
             now_ms = self._clock.now_ms()
-            current.origin_failed(index, retry_after_ms, now_ms)
+            current.record_origin_failure(index, retry_after_ms, now_ms)
 
     def _announce(
         self, current: swarm.Swarm, wanted: version_digests.Wanted
@@ -432,7 +432,7 @@
         since_ms = now_ms - self._announced_ms
         if since_ms < ANNOUNCE_MS:
             return
-        held, seen = current.take_news()
+        held, seen = current.drain_updates()
         quiet = not held and not seen
         if quiet and (since_ms < KEEPALIVE_MS or current.settled):
             return
@@ -449,7 +449,7 @@
         horizon_ms = self._clock.now_ms() - PEER_TIMEOUT_MS
         for name in current.peer_ids:
             if self._heard_ms.get(name, 0.0) < horizon_ms:
-                current.peer_lost(name)
+                current.remove_peer(name)
                 self._downloads.drop_peer(name)
 
     def _current(self, name: str) -> swarm.Swarm | None:
--- a/src/marlramp/direct/weights/piece_relay.py
+++ b/src/marlramp/direct/weights/piece_relay.py
@@ -18,7 +18,7 @@
 from marlramp import counters
 from marlramp import logs
 from marlramp.core import chunk_bitmap
-from marlramp.core import relay_duty
+from marlramp.core import relay_assignment
 from marlramp.core import relay_fetch
 from marlramp.direct.weights import piece_downloads
 from marlramp.direct.weights import piece_draws
@@ -53,7 +53,7 @@
 class Surroundings(Protocol):
     """What the relay asks the entry that it belongs to."""
 
-    def places(self) -> Mapping[str, relay_duty.Place]:
+    def places(self) -> Mapping[str, relay_assignment.Location]:
         """Returns the entries that relay pieces, this one among them."""
         ...
 
@@ -146,7 +146,7 @@
             self._on_drawn, self._on_not_drawn, time
         )
         self._versions: dict[str, _Version] = {}
-        self._places: Mapping[str, relay_duty.Place] = {}
+        self._places: Mapping[str, relay_assignment.Location] = {}
         self._newest: dict[str, version_digests.Wanted] = {}
         self._wake = asyncio.Event()
 
@@ -247,15 +247,15 @@
             self._surroundings.age_ms(version.wanted),
             self._clock.now_ms(),
         )
-        version.fetch.set_duties(
-            relay_duty.duties(self._own, self._places, pieces),
+        version.fetch.set_assignments(
+            relay_assignment.assignments(self._own, self._places, pieces),
             len(self._places),
         )
         for index in whole.held:
-            version.fetch.held(index, self._clock.now_ms())
+            version.fetch.record_held(index, self._clock.now_ms())
         version.news.extend(sorted(whole.held))
         if version.asked_ms > float("-inf"):
-            version.fetch.hurry(self._clock.now_ms())
+            version.fetch.record_demand(self._clock.now_ms())
         self._wake.set()
 
     # Others.
@@ -276,9 +276,11 @@
             if version.fetch is None or whole is None:
                 continue
             for name in gone:
-                version.fetch.peer_lost(name)
-            version.fetch.set_duties(
-                relay_duty.duties(self._own, places, whole.manifest.chunks),
+                version.fetch.remove_peer(name)
+            version.fetch.set_assignments(
+                relay_assignment.assignments(
+                    self._own, places, whole.manifest.chunks
+                ),
                 len(places),
             )
             version.greeted_ms = float("-inf")
@@ -309,14 +311,14 @@
         held = chunk_bitmap.from_bitmap(hello.held)
         version.seen.update(held, chunk_bitmap.from_bitmap(hello.seen))
         if version.fetch is not None:
-            version.fetch.peer_holds(name, held, now_ms)
+            version.fetch.record_holdings(name, held, now_ms)
         if not hello.reply:
             return
         version.listeners.add(name)
         if name not in self._places:
             version.asked_ms = now_ms
             if version.fetch is not None:
-                version.fetch.hurry(now_ms)
+                version.fetch.record_demand(now_ms)
         self._send(name, self._hello(hello.manifest, reply=False))
 
     def _on_have(self, name: str, have: messages.PeerHave) -> None:
@@ -324,7 +326,7 @@
         if version is None or version.fetch is None:
             return
         version.seen.update(have.indexes, have.seen)
-        version.fetch.peer_holds(name, have.indexes, self._clock.now_ms())
+        version.fetch.record_holdings(name, have.indexes, self._clock.now_ms())
 
     def _hello(self, name: str, *, reply: bool) -> messages.PeerHello:
         whole = self._wholes.get(name)
@@ -345,7 +347,9 @@
             return
         if reply.data is None:
             version.downloads.cancel(reply.index)
-            version.fetch.not_sent(reply.index, name, self._clock.now_ms())
+            version.fetch.record_failed_request(
+                reply.index, name, self._clock.now_ms()
+            )
             return
         data = version.downloads.take(reply)
         if data is not None:
@@ -363,7 +367,7 @@
     ) -> None:
         version = self._versions.get(wanted.name)
         if version is not None and version.fetch is not None:
-            version.fetch.origin_failed(
+            version.fetch.record_origin_failure(
                 index,
                 retry_after_ms,
                 self._clock.now_ms(),
@@ -388,10 +392,12 @@
         if not whole.add(index, data):
             self._totals.add(counters.CounterName.CHUNKS_REJECTED, source)
             logs.log("piece_corrupt", index=index, source=peer or source)
-            version.fetch.not_sent(index, peer, self._clock.now_ms())
+            version.fetch.record_failed_request(
+                index, peer, self._clock.now_ms()
+            )
             return
         self._totals.add(counters.CounterName.CHUNKS_RECEIVED, source)
-        version.fetch.held(index, self._clock.now_ms())
+        version.fetch.record_held(index, self._clock.now_ms())
         version.news.append(index)
         self._wake.set()
 
@@ -440,13 +446,13 @@
         if version.fetch is None:
             return
         actions = version.fetch.next_actions(
-            self._clock.now_ms(), may_draw=self._may_draw(version)
+            self._clock.now_ms(), may_use_origin=self._may_draw(version)
         )
         for action in actions:
             match action:
-                case relay_fetch.AskEntry():
+                case relay_fetch.FetchFromPeer():
                     version.downloads.start(action.index, action.peer)
-                case relay_fetch.Cancel():
+                case relay_fetch.CancelFetch():
                     version.downloads.cancel(action.index)
-                case relay_fetch.Draw():
+                case relay_fetch.FetchFromOrigin():
                     self._draws.start(version.wanted, action.index)
--- a/src/marlramp/direct/weights/version_digests.py
+++ b/src/marlramp/direct/weights/version_digests.py
@@ -14,7 +14,7 @@
 from marlramp import clock
 from marlramp import logs
 from marlramp.core import manifest
-from marlramp.core import origin_asks
+from marlramp.core import origin_requests
 from marlramp.core import rendezvous
 from marlramp.platform import clients
 from marlramp.protocol import messages
@@ -105,13 +105,13 @@
         self._asked_by: dict[str, set[str]] = {}
         self._news = asyncio.Event()
         self.origin: Origin | None = None
-        self.wholes: collections.OrderedDict[str, manifest.Whole] = (
+        self.wholes: collections.OrderedDict[str, manifest.ChunkSet] = (
             collections.OrderedDict()
         )
 
-    async def find(self, wanted: Wanted) -> manifest.Whole:
+    async def find(self, wanted: Wanted) -> manifest.ChunkSet:
         """Learns the digests of a version from the origin or neighbours."""
-        asks = origin_asks.OriginAsks(self._clock.now_ms(), self._rng)
+        asks = origin_requests.OriginRequests(self._clock.now_ms(), self._rng)
         asking: asyncio.Task[None] | None = None
         try:
             if self._asks_first:
@@ -164,13 +164,17 @@
         """Returns who asks the origin, the first in front."""
         return rendezvous.order(wanted.name, {self._own, *self._peers()})
 
-    def _is_due(self, wanted: Wanted, asks: origin_asks.OriginAsks) -> bool:
+    def _is_due(
+        self, wanted: Wanted, asks: origin_requests.OriginRequests
+    ) -> bool:
         if self.origin is None:
             return False
         rank = self._ordered(wanted).index(self._own)
         return asks.due(rank, self._clock.now_ms())
 
-    async def _ask(self, wanted: Wanted, asks: origin_asks.OriginAsks) -> None:
+    async def _ask(
+        self, wanted: Wanted, asks: origin_requests.OriginRequests
+    ) -> None:
         if self.origin is None:
             return
         try:
@@ -178,7 +182,7 @@
         except clients.PlatformError as error:
             logs.log("manifest_unavailable", name=wanted.name, detail=error)
             agents = 1 + len(list(self._peers()))
-            asks.failed(agents, self._clock.now_ms())
+            asks.record_failure(agents, self._clock.now_ms())
             return
         self._take_manifest(wanted.name, found)
 
@@ -193,8 +197,10 @@
     def _take_manifest(self, name: str, found: manifest.Manifest) -> None:
         if name in self.wholes:
             return
-        whole = manifest.Whole(found, manifest.sha256_of)
-        kept = sum(whole.adopt(other) for other in self.wholes.values())
+        whole = manifest.ChunkSet(found, manifest.sha256_of)
+        kept = sum(
+            whole.copy_common_chunks(other) for other in self.wholes.values()
+        )
         self.wholes[name] = whole
         self._news.set()
         logs.log("manifest_known", name=name, pieces_kept=kept)
--- a/tests/direct/weights/test_standstill.py
+++ b/tests/direct/weights/test_standstill.py
@@ -33,7 +33,7 @@
         time.now_ms(),
         rng,
     )
-    current.peer_holds(ids.VmId("vm-2"), [1], [])
+    current.record_holdings(ids.VmId("vm-2"), [1], [])
     watch = standstill.Standstill(time)
     watch.check(current)
     time.advance(standstill.STANDSTILL_MS - 1.0)
@@ -59,7 +59,7 @@
     for index in range(3):
         watch.check(current)
         time.advance(standstill.STANDSTILL_MS / 2)
-        current.received(index, None, valid=True, now_ms=time.now_ms())
+        current.record_chunk(index, None, valid=True, now_ms=time.now_ms())
     watch.check(current)
     time.advance(standstill.STANDSTILL_MS)
     watch.check(current)
