--- a/src/marlramp/core/admission.py
+++ b/src/marlramp/core/admission.py
@@ -1,13 +1,15 @@
-"""Whether a request is sent to an engine now, in front or behind, or refused.
-
-Load pattern: more requests than the engines can begin in time, for seconds (a
-burst, engines that load, callers that all come back after an outage) or
-without an end. An engine that is sent more than it can serve delays every
-request, so that all come late, and goes on doing so after the excess has
-gone. So a request that can still begin within its objective goes in front; one
-that is late whatever happens yields to those, and is served in the gaps; one
-that would wait for longer than its caller does is refused at once and told
-when there should be room.
+"""Admission control: sends a request to a replica or refuses it.
+
+Load pattern: more requests than the engines can begin in time, either for
+seconds (a burst, engines that load weights, callers that all retry after an
+outage) or permanently. An overloaded engine delays every request, so that all
+answers are late, and it stays late after the excess load has ended.
+
+Admission therefore distinguishes three cases. A request that can still begin
+within its objective goes to the front of the engine's queue. A request that
+misses its objective in any case goes behind those and is served when the
+engine has spare capacity. A request that would wait longer than its caller
+does is refused immediately, with a time after which to retry.
 """
 
 from __future__ import annotations
@@ -25,56 +27,61 @@
 from marlramp.core import replica_view
 from marlramp.core import upstream_choice
 
-USUAL_PROMPT_TOKENS = 1_000.0
-"""Tokens of a usual prompt."""
+TYPICAL_PROMPT_TOKENS = 1_000.0
+"""Prompt length, in tokens, up to which a request's predicted time counts in
+full towards its lateness."""
 
 BEHIND_WAIT_SHARE = 0.4
-"""Part of the time that its caller stays which a request that yields to others
-may be predicted to wait: requests in front come in between. At 1.3 times
-capacity 6 in 100 callers leave in vain, with 0.7 as many as 14, and as many are
-served (replayed load, three seeds)."""
-
-WEIGHED_MAX = 64
-"""Engines that are all weighed for each request, 10 us of processor time each.
-With fewer, a look at all finds the least loaded one: own engines first served
-1,940 callers in time where all weighed served 1,990 (20 engines)."""
+"""Longest predicted wait of a request in the back of the queue, as a part of
+the time that its caller waits. Requests that arrive later in front of it make
+the real wait longer. At 1.3 times capacity, 6 of 100 callers leave without an
+answer; with 0.7 instead, 14 of 100 do, and no more are served (replayed load,
+three seeds)."""
+
+RANK_ALL_MAX = 64
+"""Number of engines up to which every request ranks all of them, which takes
+10 us of processor time per engine. Ranking all finds the least loaded engine:
+with 20 engines, 1,990 callers were served in time, against 1,940 where the
+engines of the entry's own cell were preferred."""
 
 OWN_CELL_SHARE = 0.5
-"""Part of the objective within which an engine of the own cell takes a request
-without a look at the others."""
+"""Part of the objective within which an engine of the entry's own cell must
+begin a request to be chosen without ranking the engines of other cells."""
 
 RETRY_AFTER_MIN_MS = 1_200.0
-"""A refused caller is late however soon it comes back, and one that is refused
-again is lost: so it comes back when what overloads the engines is likely over,
-and late enough to be told from callers that have not come before."""
+"""Least time after which a refused caller retries. Its answer is late however
+soon it retries, and a caller that is refused twice is lost. So the time is long
+enough for the overload to have ended, and for the retry to be distinguished
+from a first attempt."""
 
 RETRY_AFTER_MAX_MS = 1_900.0
-"""Callers honour a time of up to a third of what they have left."""
+"""Longest time after which a refused caller is asked to retry. Callers honour
+a time of up to a third of what they have left."""
 
 RETRY_AFTER_LIMITED_MS = 500.0
-"""Least time to come back to plain replicas whose limits are used up."""
+"""Least retry time for plain replicas whose limits are used up."""
 
-RETURN_SPREAD_MS = 750.0
-"""Time over which callers return to replicas that end a pause."""
+RETURN_JITTER_MS = 750.0
+"""Time over which callers return to replicas whose pause has ended."""
 
-SPREAD = 0.5
-"""Part by which the times to come back differ, so that callers that were
-refused together do not come back together."""
+JITTER = 0.5
+"""Largest random increase of a retry time, as a part of it, so that callers
+that were refused together do not return together."""
 
 
 class Request(msgspec.Struct, frozen=True, kw_only=True):
-    """What decides whether and where a request goes.
+    """Properties of a request that decide its admission and its replica.
 
     Attributes:
-      wanted: what it needs of a replica.
-      elapsed_ms: time since its caller first tried, as far as is known.
-      stays_ms: how long its caller waits for the answer to begin.
-      objective_ms: time within which it should begin.
-      oldest_behind: oldest version that it may begin on if it yields to
-        others, and so begins later.
-      begun: whether its caller has got a part of the answer.
-      maybe_ran: whether a replica may have run it, so that it can't be refused
-        as one that has not run.
+      wanted: what the request needs of a replica.
+      elapsed_ms: time since the caller's first attempt, as far as is known.
+      stays_ms: how long the caller waits for the answer to begin.
+      objective_ms: time within which the answer should begin.
+      oldest_behind: oldest weights version that the request may begin on if it
+        goes to the back of the queue and so begins later.
+      begun: whether the caller has received a part of the answer.
+      maybe_ran: whether a replica may have run the request, in which case it
+        must not be refused as one that has not run.
     """
 
     wanted: upstream_choice.Wanted
@@ -87,7 +94,13 @@
 
 
 class RefusalReason(enum.Enum):
-    """Why a request is not sent."""
+    """Why a request is refused.
+
+    Attributes:
+      LATE: it would begin too late.
+      LIMITED: the rate limits of all replicas are used up.
+      PAUSED: all replicas are closed, and at least one is paused or leaves.
+    """
 
     LATE = "late"
     LIMITED = "limited"
@@ -95,13 +108,13 @@
 
 
 class Refusal(msgspec.Struct, frozen=True):
-    """The request is not sent.
+    """A request is refused without being sent.
 
     Attributes:
-      late_ms: by how much it would begin too late, infinite if the replicas
-        that there are don't take it any more.
-      retry_after_ms: when its caller should come back.
-      reason: why it is not sent.
+      late_ms: by how much it would begin too late; for replicas that are
+        closed, the time until the first opens, infinite if all of them leave.
+      retry_after_ms: time after which the caller should retry.
+      reason: why the request is refused.
     """
 
     late_ms: float
@@ -116,23 +129,25 @@
     now_ms: clock.Millis,
     rng: random.Random,
 ) -> upstream_choice.Choice | Refusal | None:
-    """Returns where a request goes, or that it is refused.
+    """Returns the replica for a request, or the refusal of the request.
 
-    Of very many engines those of the entry's own cell are weighed first, and
-    the others only if none of those can begin the request soon.
+    With more than `RANK_ALL_MAX` replicas, the engines of the entry's own cell
+    are ranked first, and the others only if none of those begins the request
+    soon.
 
     Args:
-      views: replicas of its service.
+      views: replicas of the request's service.
       request: the request.
-      places: where the replicas are that the entry prefers.
+      places: locations of the replicas that the entry prefers.
       now_ms: the time.
-      rng: spreads callers that are refused.
+      rng: source of the jitter in retry times.
 
     Returns:
-      None if no replica may get it at all.
+      The chosen replica with the position in its queue, a refusal, or None if
+      no replica may receive the request now.
     """
     wanted = request.wanted
-    if len(views) > WEIGHED_MAX and wanted.engine is not None:
+    if len(views) > RANK_ALL_MAX and wanted.engine is not None:
         own = [view for view in views if places.in_cell(view)]
         ranked = upstream_choice.rank(own, wanted, places, now_ms)
         if ranked and _begins_soon(request, ranked[0]):
@@ -167,10 +182,15 @@
     now_ms: clock.Millis,
     rng: random.Random,
 ) -> Refusal | None:
-    """Returns the refusal of a request that the replicas' own words keep away.
+    """Returns the refusal of a request that replicas' own limits exclude.
+
+    The replicas name a time after which they accept requests, so the caller
+    retries then. Waiting at the entry would only occupy room that other
+    requests need.
 
-    Its caller comes back when they take requests again: they say when, and
-    waiting here would only take the place of others.
+    Returns:
+      None if a replica is not closed by a pause, its leaving or a limit, or if
+      the request has begun or may have run.
     """
     open_ms = upstream_choice.opens_in_ms(views, request.wanted, now_ms)
     if open_ms is None or request.begun or request.maybe_ran:
@@ -190,7 +210,7 @@
 
 
 def _begins_soon(request: Request, choice: upstream_choice.Choice) -> bool:
-    """Returns whether no look at other cells' engines is worth its time."""
+    """Returns whether a choice is good enough to skip other cells' engines."""
     soon_ms = OWN_CELL_SHARE * request.objective_ms
     return choice.predicted_ms + request.elapsed_ms <= soon_ms
 
@@ -200,44 +220,49 @@
 ) -> float:
     """Returns by how much a request would begin too late, 0 if it would not.
 
-    A long prompt counts as one of usual length, so that large requests are
-    not refused more often than small ones.
+    A prompt longer than `TYPICAL_PROMPT_TOKENS` counts as one of that length,
+    so that large requests are not refused more often than small ones.
 
     Args:
       request: the request.
-      engine: the engines.
+      engine: specification of the engines.
       predicted_ms: predicted time to the first event.
     """
     tokens = request.wanted.prompt_tokens
-    excess_tokens = max(0.0, tokens - USUAL_PROMPT_TOKENS)
+    excess_tokens = max(0.0, tokens - TYPICAL_PROMPT_TOKENS)
     begins_ms = predicted_ms - excess_tokens / engine.read_tokens_per_ms
     return max(0.0, begins_ms + request.elapsed_ms - request.objective_ms)
 
 
 def retry_after_ms(excess_ms: float, rng: random.Random) -> float:
-    """Returns when a refused caller should come back.
+    """Returns the time after which a refused caller should retry.
 
     Args:
       excess_ms: by how much it would have waited too long.
-      rng: spreads callers.
+      rng: source of the jitter.
     """
     return spread_ms(max(RETRY_AFTER_MIN_MS, excess_ms), rng)
 
 
 def spread_ms(base_ms: float, rng: random.Random) -> float:
-    """Returns a time to come back that differs between callers."""
-    longest_ms = base_ms * (1.0 + SPREAD * rng.random())
-    return min(RETRY_AFTER_MAX_MS, longest_ms)
+    """Returns a retry time with jitter, at most `RETRY_AFTER_MAX_MS`.
+
+    Args:
+      base_ms: the time without jitter.
+      rng: source of the jitter.
+    """
+    jittered_ms = base_ms * (1.0 + JITTER * rng.random())
+    return min(RETRY_AFTER_MAX_MS, jittered_ms)
 
 
 def return_ms(open_ms: float, rng: random.Random) -> float:
-    """Returns when a caller should come back to replicas that open then.
+    """Returns the time after which a caller should retry at closed replicas.
 
     Args:
-      open_ms: time until the first of them takes requests, infinite if they
-        leave: then others have to come first.
-      rng: spreads callers.
+      open_ms: time until the first replica accepts requests, infinite if all
+        of them leave and new replicas must start first.
+      rng: source of the jitter.
     """
     if math.isinf(open_ms):
         return spread_ms(RETRY_AFTER_MIN_MS, rng)
-    return open_ms + RETURN_SPREAD_MS * rng.random()
+    return open_ms + RETURN_JITTER_MS * rng.random()
--- a/src/marlramp/core/attempt_limits.py
+++ b/src/marlramp/core/attempt_limits.py
@@ -1,7 +1,7 @@
-"""Until when an attempt at a replica is waited for.
+"""Timeouts of a single attempt at a replica.
 
-Load pattern: replicas that hang or fall silent, engines whose queues are long,
-and versions that bind while requests wait there.
+Load pattern: replicas that hang or stop sending, engines with long queues, and
+versions that become mandatory while requests wait in such a queue.
 """
 
 from __future__ import annotations
@@ -9,39 +9,42 @@
 import msgspec
 
 STALL_FLOOR_MS = 900.0
-"""A stream that brought nothing for this long is taken to another replica:
-more than twice the longest pause that counts as on time. Before its first
-event this counts from when the replica was last heard on any request: one that
-serves others has it in its queue, and to send it elsewhere would have its
-prompt read twice just when engines are full (130 of 520 requests in the two
-seconds after a loss of all power)."""
-
-UNBEGUN_SHARE = 0.7
-"""A request that brought nothing for this part of the time that its caller
-stays is taken elsewhere though its replica serves others: it may hang there."""
-
-UNBEGUN_FACTOR = 2.5
-"""The same as a multiple of the predicted time to the first event."""
+"""Time without an event after which a stream is retried at another replica:
+more than twice the longest pause that counts as on time. Before the first
+event, the time counts from when the replica last answered any request. A
+replica that serves others has the request in its queue, and a retry elsewhere
+would have its prompt read twice just when engines are full (130 of 520
+requests in the two seconds after a loss of all power)."""
+
+FIRST_EVENT_SHARE = 0.7
+"""Part of the caller's stream gap timeout after which a request without a
+first event is retried elsewhere, even if its replica serves other requests:
+the request may hang there."""
+
+FIRST_EVENT_FACTOR = 2.5
+"""Multiple of the predicted time to the first event before which a request is
+not considered to hang at a replica that serves other requests."""
 
 PLAIN_STALL_SHARE = 0.4
-"""Part of the caller's time after which a plain idempotent request is tried
+"""Part of the caller's time after which a plain idempotent request is retried
 elsewhere."""
 
 
 class Waiting(msgspec.Struct, frozen=True, kw_only=True):
-    """An attempt that is waited for.
+    """State of an attempt whose answer is not complete.
 
     Attributes:
       streaming: whether the answer is a stream.
       begun: whether a first event has arrived.
       may_repeat: whether the request may be sent to another replica.
       received_ms: when the caller's request arrived.
-      ends_ms: when its caller or its route has waited long enough.
-      progress_ms: when anything arrived last, or when it was sent.
-      heard_ms: when the replica was last heard on any request.
+      ends_ms: when the timeout of the caller or of the route expires.
+      progress_ms: when data last arrived, or else when the request was sent.
+      heard_ms: when the replica last answered any request.
       gap_max_ms: longest time that the caller waits without an event.
       predicted_ms: predicted time to the first event.
-      begins_until_ms: from when it may not begin at that replica any more.
+      begins_until_ms: when the answer must have begun, infinite if no other
+        version becomes mandatory.
     """
 
     streaming: bool
@@ -57,11 +60,11 @@
 
 
 def limit_ms(waiting: Waiting) -> float:
-    """Returns until when an attempt is waited for.
+    """Returns the time at which an attempt is given up.
 
-    One that has not begun is taken away before it may not begin any more,
-    whether it can be sent elsewhere or not: at a replica on the old version it
-    would break the promise that the new one is in force.
+    An attempt that has not begun is given up at `begins_until_ms`, whether or
+    not it can be retried: if it began later on a replica with the old version,
+    the guarantee that the new version is in force would be broken.
     """
     ends_ms = waiting.ends_ms
     if not waiting.begun:
@@ -72,14 +75,14 @@
 
 
 def _stall_ms(waiting: Waiting) -> float:
-    """Returns how long nothing may arrive."""
+    """Returns how long an attempt may go without progress."""
     if not waiting.streaming:
         return PLAIN_STALL_SHARE * (waiting.ends_ms - waiting.received_ms)
     if waiting.begun:
         return STALL_FLOOR_MS
     longest_ms = max(
-        UNBEGUN_SHARE * waiting.gap_max_ms,
-        UNBEGUN_FACTOR * waiting.predicted_ms,
+        FIRST_EVENT_SHARE * waiting.gap_max_ms,
+        FIRST_EVENT_FACTOR * waiting.predicted_ms,
     )
     heard_after_ms = max(0.0, waiting.heard_ms - waiting.progress_ms)
     return min(longest_ms, heard_after_ms + STALL_FLOOR_MS)
--- a/src/marlramp/core/availability.py
+++ b/src/marlramp/core/availability.py
@@ -1,13 +1,15 @@
-"""When a replica takes requests of this entry, by its own answers.
-
-Load pattern: some replicas of a service, or all, turn requests away for
-seconds, each request or a share of them, and name a time after which they want
-to be asked again, or none; others say that they leave while the list still
-shows them as healthy. Every entry learns that from answers of its own, and many
-are told the same time by the same replica. So a time that a replica named is
-kept whole and only its start anew ends it; entries come back at times of their
-own; and one request at a time finds out whether a replica takes requests again,
-while the others go where they are served.
+"""When a replica accepts requests, according to its own answers.
+
+Load pattern: some or all replicas of a service refuse requests for seconds,
+either every request or a share of them, with or without a time after which to
+retry. Other replicas announce that they leave while the replica list still
+shows them as healthy. Every entry learns this from the answers that it receives
+itself, and a replica gives many entries one and the same retry time.
+
+Therefore a pause that a replica asked for lasts to its end, and only a restart
+of the replica ends it earlier. Entries return to the replica at different
+times. After refusals, one request at a time tests whether the replica accepts
+requests again, while the others go to replicas that serve them.
 """
 
 from __future__ import annotations
@@ -20,33 +22,41 @@
 from marlramp import clock
 
 BACKOFF_MIN_MS = 150.0
-"""How long a replica that turned a request away without naming a time is
-spared; doubled with each refusal in a row."""
+"""Backoff after the first refusal that names no time; doubled with each
+consecutive refusal."""
 
 BACKOFF_MAX_MS = 2_400.0
-"""Longest such time: what a replica that recovers may stand idle."""
+"""Longest backoff, which is also the longest time that a replica that has
+recovered stays idle."""
 
 TRIAL_MS = 250.0
-"""Replicas turn requests away as they arrive: one that has not by then has
-taken the request."""
+"""Time after which a request without an answer counts as accepted, since
+replicas refuse requests as these arrive."""
 
-RETURN_SPREAD_SHARE = 0.1
-"""Part of a named time by which the returns of entries differ."""
+RETURN_JITTER_SHARE = 0.1
+"""Largest extension of a pause, as a part of it, so that entries return at
+different times."""
 
 LEAVING_MARGIN_MS = 100.0
-"""Before the end of a replica's drain time nothing is sent there any more, so
-that it arrives in time."""
+"""Time before the end of a replica's drain time from which no request is sent
+to the replica, so that the last request arrives in time."""
 
 REFUSAL_SMOOTHING = 0.3
 """Weight of the newest answer in a replica's share of refusals."""
 
 REFUSAL_HALF_LIFE_MS = 1_000.0
-"""Time after which refusals count half: a replica that gets little must not be
-judged by them for long."""
+"""Time after which the share of refusals counts half, so that old refusals do
+not exclude a replica that receives few requests for long."""
 
 
 class Change(enum.Enum):
-    """What an answer changes for those who watch a replica."""
+    """Effect of an answer on a replica's pause.
+
+    Attributes:
+      NONE: the pause is unchanged.
+      ASKED: the replica asked for a pause and was not paused before.
+      EXTENDED: the replica extended its pause.
+    """
 
     NONE = "none"
     ASKED = "asked"
@@ -54,15 +64,18 @@
 
 
 class Availability(msgspec.Struct):
-    """What one start of a replica said of itself.
+    """Availability of one run of a replica, from its answers to this entry.
+
+    A restarted replica gets a new object.
 
     Attributes:
-      paused_until_ms: it named a time before which it wants nothing.
-      paused_since_ms: when the pause in force was first asked for.
-      leaving_since_ms: when it first said that it leaves, None before.
-      leaves_by_ms: when nothing more may be sent there, as it leaves.
-      refusals: refusals in a row.
-      sent_ms: when the last request was sent there.
+      paused_until_ms: end of the pause that the replica asked for.
+      paused_since_ms: start of the current or last pause.
+      leaving_since_ms: when the replica first announced that it leaves, None
+        before.
+      leaves_by_ms: from when no request is sent to the leaving replica.
+      refusals: consecutive refusals.
+      sent_ms: when the last request was sent to the replica.
     """
 
     paused_until_ms: float = float("-inf")
@@ -76,20 +89,25 @@
     _refusal_share: float = 0.0
     _answered_ms: float = float("-inf")
 
-    # What its answers say.
+    # Updates from answers and sends.
 
     def note_pause(
         self, wait_ms: float, spread: float, now_ms: clock.Millis
     ) -> Change:
-        """Takes a time that it named; no other one shortens it.
+        """Records a pause that the replica asked for.
+
+        A later answer can extend a pause, but not shorten it.
 
         Args:
-          wait_ms: the time.
-          spread: 0 to 1, drawn: where in the spread of entries this one
-            returns.
-          now_ms: when the answer came.
+          wait_ms: length of the pause.
+          spread: random number from 0 to 1 that sets how much the entry extends
+            the pause, up to `RETURN_JITTER_SHARE`.
+          now_ms: when the answer arrived.
+
+        Returns:
+          How the answer changes the replica's pause.
         """
-        until_ms = now_ms + wait_ms * (1.0 + RETURN_SPREAD_SHARE * spread)
+        until_ms = now_ms + wait_ms * (1.0 + RETURN_JITTER_SHARE * spread)
         if wait_ms <= 0.0 or until_ms <= self.paused_until_ms:
             return Change.NONE
         change = Change.EXTENDED
@@ -100,7 +118,12 @@
         return change
 
     def note_leaving(self, drain_ms: float, now_ms: clock.Millis) -> bool:
-        """Takes that it leaves; returns whether that is new."""
+        """Records that the replica leaves; returns whether that is new.
+
+        Args:
+          drain_ms: time for which the replica still accepts requests.
+          now_ms: when the answer arrived.
+        """
         if self.leaving_since_ms is not None:
             return False
         self.leaving_since_ms = now_ms
@@ -108,21 +131,23 @@
         return True
 
     def note_refused(self, sent_ms: clock.Millis, now_ms: clock.Millis) -> None:
-        """Takes that it turned a request away.
+        """Records that the replica refused a request.
 
-        A refusal that comes late is of a request that waited in its queue; it
-        says nothing of whether the replica admits others.
+        A refusal later than `TRIAL_MS` is of a request that waited in the
+        replica's queue. It does not show whether the replica accepts others, so
+        it neither doubles the backoff nor counts in the share of refusals.
 
         Args:
           sent_ms: when the request was sent.
-          now_ms: when the answer came.
+          now_ms: when the answer arrived.
         """
         if now_ms - sent_ms > TRIAL_MS:
             self.back_off(BACKOFF_MIN_MS, now_ms)
             return
-        self._note_share(1.0, now_ms)
+        self._update_refusal_share(1.0, now_ms)
         if sent_ms < self._refused_ms:
-            # Sent together with one that was refused before: no news.
+            # The request was sent before the last refusal arrived, so this
+            # refusal adds no information.
             return
         wait_ms = min(BACKOFF_MAX_MS, BACKOFF_MIN_MS * 2.0**self.refusals)
         self.refusals += 1
@@ -130,70 +155,90 @@
         self.back_off(wait_ms, now_ms)
 
     def note_served(self, sent_ms: clock.Millis, now_ms: clock.Millis) -> None:
-        """Takes that it served a request."""
-        self._note_share(0.0, now_ms)
+        """Records that the replica served a request.
+
+        Args:
+          sent_ms: when the request was sent.
+          now_ms: when the answer arrived.
+        """
+        self._update_refusal_share(0.0, now_ms)
         if sent_ms >= self._refused_ms:
             self.refusals = 0
 
     def back_off(self, wait_ms: float, now_ms: clock.Millis) -> None:
-        """Leaves it alone for some time, without shortening another one."""
+        """Starts a backoff, or extends the current one if it ends earlier."""
         until_ms = now_ms + wait_ms
         self._backoff_until_ms = max(self._backoff_until_ms, until_ms)
 
     def note_sent(self, now_ms: clock.Millis) -> None:
-        """Counts a request sent there, the trial if one is due."""
+        """Records a request sent to the replica; it is the trial if one is due.
+
+        Args:
+          now_ms: when the request is sent.
+        """
         self.sent_ms = now_ms
 
-    # What follows from it.
+    # State at a time.
 
     def is_paused(self, now_ms: clock.Millis) -> bool:
-        """Returns whether it wants nothing now."""
+        """Returns whether a pause that the replica asked for is in force."""
         return now_ms < self.paused_until_ms
 
     @property
     def is_leaving(self) -> bool:
-        """Whether it said that it leaves."""
+        """Whether the replica has announced that it leaves."""
         return self.leaving_since_ms is not None
 
     def takes(self, now_ms: clock.Millis) -> bool:
-        """Returns whether its own word lets a request be written now."""
+        """Returns whether the replica is neither paused nor gone.
+
+        This entry's own backoff is not considered.
+        """
         return self.closed_ms(now_ms) <= 0.0
 
     def opens(self, now_ms: clock.Millis) -> bool:
-        """Returns whether a request may be sent there.
+        """Returns whether a request may be sent to the replica.
 
-        After refusals in a row one request at a time finds out.
+        After a refusal, one trial request at a time may be sent until the
+        replica serves one.
         """
         if not self.takes(now_ms) or self.backoff_ms(now_ms) > 0.0:
             return False
         return self.refusals == 0 or not self.in_trial(now_ms)
 
     def in_trial(self, now_ms: clock.Millis) -> bool:
-        """Returns whether the last request there may still be turned away."""
+        """Returns whether the replica may still refuse the last request."""
         return now_ms - self.sent_ms < TRIAL_MS
 
     def is_backing_off(self, now_ms: clock.Millis) -> bool:
-        """Returns whether this entry's own backoff alone closes it."""
+        """Returns whether only this entry's backoff restricts the replica."""
         return self.refusals > 0 and self.takes(now_ms)
 
     def closed_ms(self, now_ms: clock.Millis) -> float:
-        """Returns how long it has said to be closed: infinite if it leaves."""
+        """Returns how long the replica stays closed by its own announcement.
+
+        Returns:
+          Milliseconds to the end of its pause, 0 if it is open, or infinite if
+          it leaves and its drain time is over.
+        """
         if now_ms >= self.leaves_by_ms:
             return float("inf")
         return max(0.0, self.paused_until_ms - now_ms)
 
     def backoff_ms(self, now_ms: clock.Millis) -> float:
-        """Returns how long it is left alone for its refusals."""
+        """Returns the milliseconds to the end of this entry's backoff."""
         return max(0.0, self._backoff_until_ms - now_ms)
 
     def refusal_share(self, now_ms: clock.Millis) -> float:
-        """Returns the part of recent requests that it turned away."""
+        """Returns the smoothed part of recent requests that it refused."""
         age_ms = now_ms - self._answered_ms
         return self._refusal_share * math.pow(
             0.5, age_ms / REFUSAL_HALF_LIFE_MS
         )
 
-    def _note_share(self, refused: float, now_ms: clock.Millis) -> None:
+    def _update_refusal_share(
+        self, refused: float, now_ms: clock.Millis
+    ) -> None:
         share = self.refusal_share(now_ms)
         self._refusal_share = share + REFUSAL_SMOOTHING * (refused - share)
         self._answered_ms = now_ms
--- a/src/marlramp/core/caller_waits.py
+++ b/src/marlramp/core/caller_waits.py
@@ -1,34 +1,34 @@
-"""How long callers of a route say at first that they will wait.
+"""Estimates how long callers of a route wait on their first attempt.
 
-A caller that comes back after a refusal or a lost answer says how much of its
-time is left, not that it has come before. Callers differ in how long they wait
-(by 15% on the deployments measured), so that only one who will wait for less
-than nearly all others do has surely spent time on an attempt before.
+A caller that retries after a refusal or a lost answer states how much of its
+time is left, but not that this is a retry. Callers differ in how long they wait
+(by 15% on the known deployments), so that only a caller that waits for less
+time than nearly all others has certainly spent time on an earlier attempt.
 """
 
 from __future__ import annotations
 
 START_SHARE = 0.8
-"""Part of a route's time that callers are first taken to wait for at least."""
+"""Initial estimate of the least wait, as a part of the route's timeout."""
 
 LOW_SHARE = 0.02
-"""Part of the callers that may wait for less without having come before."""
+"""Part of the first attempts whose wait may lie below the estimate."""
 
 STEP_SHARE = 0.001
-"""Part of the route's time by which one request moves the estimate. Small, so
-that some hundred callers that come back after an outage move it by less than a
-tenth, and it recovers from them."""
+"""Part of the route's timeout by which a request moves the estimate at most. It
+is small, so that some hundred callers that retry after an outage move the
+estimate by less than a tenth, and the estimate recovers."""
 
 
 class CallerWaits:
-    """Estimates the least time that callers of a route wait for at first.
+    """Estimates the least time that a route's callers wait on a first attempt.
 
-    Each request moves the estimate up a little or down a lot, so that it comes
-    to rest where one in fifty lies below.
+    Each request moves the estimate up by a small step or down by a large one,
+    so that it converges to the value below which one request in fifty lies.
     """
 
     def __init__(self, timeout_ms: float) -> None:
-        """Starts with a guess.
+        """Starts at `START_SHARE` of the timeout.
 
         Args:
           timeout_ms: longest time that the route keeps a request waiting.
@@ -37,10 +37,13 @@
         self._least_share = START_SHARE
 
     def spent_ms(self, wait_ms: float | None) -> float:
-        """Returns the least time that a caller must have spent before.
+        """Returns the least time that a caller has spent on earlier attempts.
+
+        The call also updates the estimate.
 
         Args:
-          wait_ms: how long the caller will wait, None if it does not say.
+          wait_ms: time that the caller states it will wait, None if it states
+            none; then the result is 0.
         """
         if wait_ms is None:
             return 0.0
--- a/src/marlramp/core/calls.py
+++ b/src/marlramp/core/calls.py
@@ -1,4 +1,4 @@
-"""One call of a caller: its tries, what was delivered, what to do next."""
+"""State of one caller's request on the grants path over all its attempts."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 
 
 class CallSpec(msgspec.Struct, frozen=True):
-    """What a caller asked for.
+    """A request as its caller sent it.
 
     Attributes:
-      call_id: the caller's request id, the same on every try.
-      customer_id: whom it is for.
-      service_id: the service.
-      priority: its priority.
-      deadline_ms: entry clock reading of its deadline.
-      idempotent: whether it may run more than once.
+      call_id: the caller's request id, unchanged over all attempts.
+      customer_id: customer that the request is accounted to.
+      service_id: service that runs the request.
+      priority: priority of the request.
+      deadline_ms: deadline as a reading of the entry's clock.
+      idempotent: whether the request may run more than once.
       method: HTTP method.
       path: path at the upstream.
       content_type: type of the body.
       body: the body.
       stream: whether the answer is a stream of events.
-      tokens: tokens it may use, for limits and fairness.
-      prefix: digest of its prompt prefix, empty if it has none.
+      tokens: tokens that the request may use, for limits and fairness.
+      prefix: digest of the prompt prefix, empty if there is none.
     """
 
     call_id: ids.RequestId
@@ -46,7 +46,14 @@
 
 
 class Retry(msgspec.Struct, frozen=True):
-    """Try again after `delay_ms`, on `version` if it is not empty."""
+    """Decision to send a request again.
+
+    Attributes:
+      reason: why it is sent again.
+      delay_ms: time to wait before.
+      version: version that the replica must have, empty if any will do.
+      resume_from: parts of the answer that the caller already has.
+    """
 
     reason: retries.RetryReason
     delay_ms: float
@@ -55,12 +62,26 @@
 
 
 class CallState:
-    """Progress of one call over its tries."""
+    """Progress of one request over its attempts.
+
+    Attributes:
+      spec: the request.
+      assembly: the parts of the answer.
+      attempts: number of attempts begun.
+      maybe_ran: whether an attempt may have run.
+      failed_vms: VMs at which an attempt failed.
+    """
 
     def __init__(
         self, spec: CallSpec, retries_max: int, backoff_base_ms: float
     ) -> None:
-        """Starts before the first try."""
+        """Starts before the first attempt.
+
+        Args:
+          spec: the request.
+          retries_max: most retries.
+          backoff_base_ms: bound of the first backoff.
+        """
         self.spec = spec
         self.assembly = assembly.Assembly()
         self.attempts = 0
@@ -71,12 +92,12 @@
 
     @property
     def resume_from(self) -> int:
-        """Parts already delivered to the caller."""
+        """Number of parts already delivered to the caller."""
         return self.assembly.next_seq
 
     @property
     def needed_version(self) -> ids.VersionId:
-        """Version a further try must have, empty if any will do."""
+        """Version that a further attempt must run on, empty if any will do."""
         if self.resume_from == 0:
             return ids.VersionId("")
         return self.assembly.version or ids.VersionId("")
@@ -88,7 +109,13 @@
         budget: retries.RetryBudget,
         now_ms: float,
     ) -> Retry | errors.CallError:
-        """Decides what follows the failure of a try.
+        """Decides between a retry and an error after a failed attempt.
+
+        Args:
+          failure: why the attempt failed.
+          vm_id: VM at which it failed.
+          budget: retry budget; a retry spends one.
+          now_ms: the time.
 
         Returns:
           A retry, or the final error for the caller.
@@ -112,7 +139,7 @@
         return Retry(reason, delay_ms, self.needed_version, self.resume_from)
 
     def _final(self, failure: errors.CallError) -> errors.CallError:
-        """Returns the failure, corrected by what is known to have run."""
+        """Returns the failure with whether any attempt of the request ran."""
         ran = failure.ran
         if ran is errors.Ran.NO and self.maybe_ran:
             ran = errors.Ran.UNKNOWN
--- a/src/marlramp/core/entry_choice.py
+++ b/src/marlramp/core/entry_choice.py
@@ -1,4 +1,7 @@
-"""Which entries an agent links to, computed alike by all processes."""
+"""Chooses the entries to which an agent connects.
+
+All processes that know the entries compute equal choices.
+"""
 
 from __future__ import annotations
 
@@ -14,13 +17,13 @@
     entries: Mapping[ids.VmId, str],
     count: int,
 ) -> list[ids.VmId]:
-    """Returns the entries of one agent, its own data centre first.
+    """Returns the entries of one agent, those of its data centre first.
 
     Args:
       vm_id: the agent's VM.
       data_centre: the agent's data centre.
       entries: data centre of each entry.
-      count: entries wanted.
+      count: most entries to return.
     """
     ranked = rendezvous.order(vm_id, entries)
     near = [entry for entry in ranked if entries[entry] == data_centre]
--- a/src/marlramp/core/event_stream.py
+++ b/src/marlramp/core/event_stream.py
@@ -1,25 +1,27 @@
-"""Splits a stream of server-sent events, so that only whole ones go on."""
+"""Splits a stream of server-sent events into complete events."""
 
 from __future__ import annotations
 
 EVENT_BYTES_MAX = 1_048_576
-_ENDS = (b"\n\n", b"\r\n\r\n")
-_ID = b"id:"
+"""Largest part of an event that is held back."""
+
+_EVENT_ENDS = (b"\n\n", b"\r\n\r\n")
+_ID_FIELD = b"id:"
 
 
 class EventTooLargeError(Exception):
-    """An event exceeds the size that is held back for it."""
+    """An event exceeds `EVENT_BYTES_MAX`."""
 
 
 class EventSplitter:
     """Holds back the part of an event whose end has not arrived.
 
-    A replica may stop in the middle of an event. What was passed on then ends
-    with a whole event, so that the stream can go on at another replica.
+    A replica may stop in the middle of an event. Since only complete events
+    are forwarded, another replica can continue the stream.
 
     Attributes:
-      last_id: id of the last whole event, "" before the first.
-      events: whole events seen.
+      last_id: id of the last complete event, "" before the first.
+      events: number of complete events with an id.
     """
 
     def __init__(self) -> None:
@@ -34,29 +36,29 @@
         return bool(self._buffer)
 
     def feed(self, data: bytes) -> bytes:
-        """Returns the whole events that `data` completes, as they came.
+        """Returns the events that `data` completes, byte for byte.
 
         Raises:
-          EventTooLargeError: if an event does not end.
+          EventTooLargeError: if an incomplete event exceeds `EVENT_BYTES_MAX`.
         """
         self._buffer += data
-        end = max(_end_of_last(self._buffer, mark) for mark in _ENDS)
+        end = max(_end_of_last(self._buffer, mark) for mark in _EVENT_ENDS)
         if end == 0:
             if len(self._buffer) > EVENT_BYTES_MAX:
                 raise EventTooLargeError
             return b""
-        whole, self._buffer = self._buffer[:end], self._buffer[end:]
-        self._note(whole)
-        return whole
+        complete, self._buffer = self._buffer[:end], self._buffer[end:]
+        self._record_ids(complete)
+        return complete
 
     def reset(self) -> None:
-        """Drops a partial event, before the stream goes on elsewhere."""
+        """Drops a partial event before another replica continues the stream."""
         self._buffer = b""
 
-    def _note(self, whole: bytes) -> None:
-        for line in whole.splitlines():
-            if line.startswith(_ID):
-                self.last_id = line[len(_ID) :].strip().decode("latin-1")
+    def _record_ids(self, complete: bytes) -> None:
+        for line in complete.splitlines():
+            if line.startswith(_ID_FIELD):
+                self.last_id = line[len(_ID_FIELD) :].strip().decode("latin-1")
                 self.events += 1
 
 
--- a/src/marlramp/core/guard.py
+++ b/src/marlramp/core/guard.py
@@ -1,10 +1,11 @@
-"""Guards an engine: which version may be served, and which order to give.
-
-Orders carry a fencing number made of the settings revision that asked for
-them and a count, so it rises with the settings and across agent restarts. An
-engine may ignore it, or take orders from others; therefore the guard compares
-what the engine reports before and after each order, and on any surprise lets
-nothing be served until the engine has been read again.
+"""Guards an engine: decides which version may be served, and numbers orders.
+
+Each order carries a fencing number, which consists of the settings revision
+that caused the order and a count, so that it increases with the settings and
+across agent restarts. An engine may ignore the number or accept orders from
+others. Therefore the engine's reports before and after each order are compared,
+and after any unexpected report nothing is served until the engine has been
+read again.
 """
 
 from __future__ import annotations
@@ -17,18 +18,21 @@
 from marlramp import ids
 
 FENCING_COUNT_BITS = 16
+"""Low bits of a fencing number that hold the count."""
+
 PAUSE_MS = 1_500.0
-"""A gap between checks above this means the process was paused."""
+"""Age of a report above which this process is assumed to have been paused."""
 
 
 class EngineState(msgspec.Struct, frozen=True):
-    """What an engine reports of itself.
+    """State that an engine reports.
 
     Attributes:
-      serving: version it answers with, empty if none.
-      loaded: digest of the whole by loaded version.
-      fencing: highest fencing number it took, 0 if it keeps none.
-      loading: whether an order is being carried out.
+      serving: version that the engine answers with, empty if none.
+      loaded: digest of the complete weights of each loaded version.
+      fencing: highest fencing number that the engine accepted, 0 if it keeps
+        none.
+      loading: whether the engine is carrying out an order.
     """
 
     serving: ids.VersionId
@@ -42,9 +46,9 @@
 
     Attributes:
       model: the model.
-      version: the version stamped on answers.
-      whole: digest of its weights.
-      revision: highest settings revision in force when it was decided.
+      version: the version that answers are labelled with.
+      whole: digest of the version's complete weights.
+      revision: highest settings revision in force when the target was decided.
     """
 
     model: str
@@ -54,7 +58,13 @@
 
 
 class Verdict(enum.Enum):
-    """What the guard makes of the engine's report."""
+    """Version that the guard allows to be served.
+
+    Attributes:
+      SERVE_TARGET: the engine serves the target version.
+      SERVE_OLD: the engine serves another version with a verified digest.
+      CLOSED: nothing may be served.
+    """
 
     SERVE_TARGET = "serve_target"
     SERVE_OLD = "serve_old"
@@ -65,7 +75,7 @@
     """Decides admission and fencing for one engine."""
 
     def __init__(self) -> None:
-        """Starts closed, before the engine was read."""
+        """Starts closed until the engine's state is observed."""
         self._trusted: dict[ids.VersionId, ids.Digest] = {}
         self._state: EngineState | None = None
         self._read_ms = float("-inf")
@@ -81,7 +91,7 @@
         self._trusted[version] = whole
 
     def observe(self, state: EngineState, now_ms: clock.Millis) -> None:
-        """Takes a fresh report of the engine."""
+        """Records a report that was just read from the engine."""
         self._state = state
         self._read_ms = now_ms
 
@@ -90,11 +100,19 @@
         self._state = None
 
     def fresh(self, now_ms: clock.Millis) -> bool:
-        """Returns whether the report is recent; a paused process's is not."""
+        """Returns whether there is a report that is at most `PAUSE_MS` old.
+
+        After a pause of this process, the last report is out of date.
+        """
         return self._state is not None and now_ms - self._read_ms <= PAUSE_MS
 
     def verdict(self, target: Target | None, now_ms: clock.Millis) -> Verdict:
-        """Returns what may be served now."""
+        """Returns which version may be served now.
+
+        Args:
+          target: version that the settings ask for, None if there is none.
+          now_ms: the time.
+        """
         state = self._state
         if state is None or not self.fresh(now_ms) or not state.serving:
             return Verdict.CLOSED
@@ -108,11 +126,12 @@
         return Verdict.SERVE_OLD if trusted == reported else Verdict.CLOSED
 
     def next_fencing(self, target: Target) -> int | None:
-        """Returns the fencing number for an order towards `target`.
+        """Returns the fencing number for an order to load or serve `target`.
 
         Returns:
-          None if the engine has taken an order for a newer settings revision,
-          which means that this process's settings are behind.
+          None if the engine must be read first, or if it has accepted an order
+          for a newer settings revision, which means that this process's
+          settings are out of date.
         """
         if self._state is None:
             return None
--- a/src/marlramp/core/limits.py
+++ b/src/marlramp/core/limits.py
@@ -1,4 +1,4 @@
-"""Limits per customer, in requests and in tokens, shared among entries."""
+"""Rate limits per customer, in requests and in tokens, split among entries."""
 
 from __future__ import annotations
 
@@ -6,23 +6,33 @@
 
 
 class TokenBucket:
-    """A refilling allowance that may be charged after the fact.
+    """A token bucket whose level may become negative.
 
-    The level can become negative through `charge`, which delays later
-    requests until the debt is paid.
+    `charge` can make the level negative; later requests are then delayed until
+    the bucket has refilled.
+
+    Attributes:
+      rate_per_s: tokens added per second.
+      burst: largest level.
     """
 
     def __init__(
         self, rate_per_s: float, burst: float, now_ms: clock.Millis
     ) -> None:
-        """Starts full."""
+        """Starts full.
+
+        Args:
+          rate_per_s: tokens added per second.
+          burst: largest level.
+          now_ms: the time.
+        """
         self.rate_per_s = rate_per_s
         self.burst = burst
         self._level = burst
         self._updated_ms = now_ms
 
     def level(self, now_ms: clock.Millis) -> float:
-        """Returns the allowance now, at most `burst`."""
+        """Returns the tokens in the bucket now, at most `burst`."""
         elapsed_s = max(0.0, now_ms - self._updated_ms) / (
             clock.MILLIS_PER_SECOND
         )
@@ -31,10 +41,14 @@
         return self._level
 
     def try_take(self, amount: float, now_ms: clock.Millis) -> float:
-        """Takes `amount` if there is that much.
+        """Removes `amount` tokens if the bucket holds that many.
+
+        An amount above `burst` is removed from a full bucket, which leaves the
+        level negative.
 
         Returns:
-          0 when taken, else the milliseconds until there will be enough.
+          0 if the tokens were removed, else the milliseconds until there will
+          be enough, infinite if the bucket does not refill.
         """
         level = self.level(now_ms)
         if level >= amount or (level >= self.burst and amount > self.burst):
@@ -46,14 +60,14 @@
         return missing / self.rate_per_s * clock.MILLIS_PER_SECOND
 
     def charge(self, amount: float, now_ms: clock.Millis) -> None:
-        """Takes `amount` even if the level becomes negative."""
+        """Removes `amount` tokens even if the level becomes negative."""
         self.level(now_ms)
         self._level -= amount
 
     def set_rate(
         self, rate_per_s: float, burst: float, now_ms: clock.Millis
     ) -> None:
-        """Changes the rate from now on, keeping the level."""
+        """Changes the rate and burst; keeps the level up to the new burst."""
         self.level(now_ms)
         self.rate_per_s = rate_per_s
         self.burst = burst
@@ -64,9 +78,9 @@
     """One entry's share of one customer's limit.
 
     The share is the limit divided by the number of entries that the platform
-    lists, whether or not they can be reached. In a partition each side keeps
-    to its shares, so their sum never exceeds the limit; the bound is broken
-    only while lists of different length are in use.
+    lists, whether or not these can be reached. In a network partition, each
+    entry keeps to its share, so that their sum never exceeds the limit. The sum
+    can exceed it only while entries use lists of different length.
     """
 
     def __init__(
@@ -80,9 +94,9 @@
         """Starts with a full burst.
 
         Args:
-          requests_per_s: the customer's limit over all entries.
+          requests_per_s: the customer's request limit over all entries.
           tokens_per_s: the customer's token limit over all entries.
-          burst_s: seconds of the rate that may be used at once.
+          burst_s: length of a burst, in seconds at the limited rate.
           entries: number of entries that share the limit.
           now_ms: the time.
         """
@@ -104,7 +118,15 @@
         entries: int,
         now_ms: clock.Millis,
     ) -> None:
-        """Applies changed settings or a changed number of entries."""
+        """Applies changed settings or a changed number of entries.
+
+        Args:
+          requests_per_s: the customer's request limit over all entries.
+          tokens_per_s: the customer's token limit over all entries.
+          burst_s: length of a burst, in seconds at the limited rate.
+          entries: number of entries that share the limit.
+          now_ms: the time.
+        """
         self._burst_s = burst_s
         request_rate = requests_per_s / entries
         token_rate = tokens_per_s / entries
@@ -118,8 +140,13 @@
     def admit(self, tokens: int, now_ms: clock.Millis) -> float:
         """Charges a request and the tokens it may use.
 
+        Args:
+          tokens: tokens that the request may use.
+          now_ms: the time.
+
         Returns:
-          0 when admitted, else the milliseconds until it would be.
+          0 if the request is admitted, else the milliseconds after which to
+          retry; then nothing is charged.
         """
         wait_ms = self._tokens.try_take(tokens, now_ms)
         if wait_ms > 0:
@@ -130,5 +157,11 @@
         return wait_ms
 
     def settle(self, reserved: int, used: int, now_ms: clock.Millis) -> None:
-        """Returns the tokens that were reserved but not used."""
+        """Refunds the tokens that were reserved but not used.
+
+        Args:
+          reserved: tokens charged when the request was admitted.
+          used: tokens that the request used; a larger number is charged.
+          now_ms: the time.
+        """
         self._tokens.charge(used - reserved, now_ms)
--- a/src/marlramp/core/lookup_share.py
+++ b/src/marlramp/core/lookup_share.py
@@ -1,10 +1,10 @@
-"""Which entries a caller is told of.
+"""Selects the entries that a caller's lookup returns.
 
 Load pattern: callers of several data centres, each with its own share of the
-load, before more entries than one answer holds. Callers keep their connections
-only to entries that the next answer names too, so each data centre is always
-told of the same part; the parts overlap evenly, so that every entry is named
-to as many data centres as any other, give or take one.
+load, and more entries than one answer holds. Callers keep only the connections
+to entries that the next answer contains too, so each data centre always gets a
+stable subset of the entries. The subsets overlap evenly: the numbers of data
+centres that get any two entries differ by at most one.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from marlramp.core import rendezvous
 
 ADDRESSES_MAX = 64
-"""Entries in one answer: callers take no more notice."""
+"""Most entries in one answer; callers ignore further ones."""
 
 
 def share_of(
@@ -23,12 +23,13 @@
     data_centres: Sequence[str],
     entries: Sequence[members.Member],
 ) -> list[members.Member]:
-    """Returns the entries that callers of a data centre are told of.
+    """Returns the entries for callers of a data centre.
 
     Args:
-      data_centre: where the caller is; an unknown one has a part too.
+      data_centre: the caller's data centre; an unknown one has a stable subset
+        too.
       data_centres: all data centres.
-      entries: entries that take callers.
+      entries: entries that accept callers.
     """
     if len(entries) <= ADDRESSES_MAX:
         return list(entries)
--- a/src/marlramp/core/meter_duty.py
+++ b/src/marlramp/core/meter_duty.py
@@ -1,4 +1,4 @@
-"""Which entries reserve the requests to a replica that names a limit."""
+"""Assigns limiters, the entries that enforce a replica's rate limit."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 from marlramp.core import members
 from marlramp.core import rendezvous
 
-METERS = 2
-"""Entries that may reserve for one replica: the first does, the second knows of
-it and stands in while the first is silent."""
+LIMITERS = 2
+"""Entries that are limiters of one replica. The first reserves send times. The
+second learns of the reservations and takes over while the first is silent."""
 
 
 def meters_of(
@@ -19,15 +19,15 @@
     entries: Sequence[members.Member],
     regions: Mapping[str, str],
 ) -> list[str]:
-    """Returns the VMs of the entries that reserve for a replica, first first.
+    """Returns the VMs of a replica's limiters, the primary before the standby.
 
-    They are in the replica's region if any entry is: whoever is cut off from
-    that region reserves nothing for its replicas.
+    Limiters are in the replica's region if any entry is, so that an entry that
+    is cut off from that region makes no reservations for its replicas.
 
     Args:
       replica_id: the replica.
-      data_centre: its data centre.
-      entries: the entries that stay, the own one too.
+      data_centre: the replica's data centre.
+      entries: the entries that are not leaving, including this one.
       regions: region of each data centre.
     """
     region = regions.get(data_centre, data_centre)
@@ -37,4 +37,4 @@
         if regions.get(entry.data_centre, entry.data_centre) == region
     ]
     names = near or [entry.vm_id for entry in entries]
-    return rendezvous.subset(replica_id, names, METERS)
+    return rendezvous.subset(replica_id, names, LIMITERS)
--- a/src/marlramp/core/pacing.py
+++ b/src/marlramp/core/pacing.py
@@ -1,4 +1,4 @@
-"""Pacing of a link in bytes per second, in order of arrival."""
+"""Paces the sends on a link at a rate in bytes per second."""
 
 from __future__ import annotations
 
@@ -6,14 +6,22 @@
 
 
 class Pacer:
-    """Says when each piece of a paced stream may be sent.
+    """Schedules the pieces of a paced stream in the order of reservation.
 
-    Pieces leave back to back at the rate; a small credit lets a sender that
-    wakes late catch up instead of losing the time.
+    Pieces are sent back to back at the rate. A small credit lets a sender that
+    wakes up late catch up instead of losing that time.
+
+    Attributes:
+      bytes_per_s: the rate.
     """
 
     def __init__(self, bytes_per_s: float, credit_ms: float = 50.0) -> None:
-        """Starts idle."""
+        """Starts idle.
+
+        Args:
+          bytes_per_s: the rate.
+          credit_ms: idle time that a late sender may use afterwards.
+        """
         self.bytes_per_s = bytes_per_s
         self._credit_ms = credit_ms
         self._free_ms = float("-inf")
@@ -21,8 +29,12 @@
     def reserve(self, size_bytes: int, now_ms: clock.Millis) -> float:
         """Reserves the link for a piece.
 
+        Args:
+          size_bytes: size of the piece.
+          now_ms: the time.
+
         Returns:
-          Milliseconds to wait until the piece has left at the paced rate.
+          Milliseconds until the piece has been sent at the paced rate.
         """
         start_ms = max(self._free_ms, now_ms - self._credit_ms)
         cost_ms = size_bytes / self.bytes_per_s * clock.MILLIS_PER_SECOND
@@ -30,5 +42,5 @@
         return max(0.0, self._free_ms - now_ms)
 
     def backlog_ms(self, now_ms: clock.Millis) -> float:
-        """Returns how long the link is reserved for."""
+        """Returns the milliseconds for which the link is still reserved."""
         return max(0.0, self._free_ms - now_ms)
--- a/src/marlramp/core/replica_limits.py
+++ b/src/marlramp/core/replica_limits.py
@@ -1,10 +1,11 @@
-"""Limits that replicas name over all entries together.
-
-Load pattern: a replica that can't take all its load names the requests a second
-that it takes, with each answer for as long as that is so; entries hear of it at
-different times, and answers overtake one another. What entries tell each other
-merges to the same limits. The end of a limit needs the answer to a request that
-was sent after the limit was last heard, since an older one may have crossed it.
+"""Rate limits that replicas name for all entries together.
+
+Load pattern: a replica that is overloaded names the rate of requests that it
+accepts, in every answer until the overload ends. Entries learn of the limit at
+different times, and answers overtake one another. The updates that entries
+exchange merge to equal limits in any order. A limit ends only with an answer
+without a limit to a request that was sent after the limit was last named, since
+the answer to an earlier request may have been overtaken.
 """
 
 from __future__ import annotations
@@ -19,28 +20,36 @@
 from marlramp.core import replica_view
 
 ENDED_KEPT_MS = 10_000.0
-"""How long the end of a limit is remembered, so that older news do not bring
-the limit back."""
+"""How long the end of a limit is remembered, so that older updates do not
+restore the limit."""
 
 TRANSIT_MS = 100.0
-"""By how much an end may seem later than it was when another entry tells it:
-ages leave out the time on the way."""
+"""Time by which the end of a limit is dated back if another entry reports it,
+since the age in an update does not include the time in transit."""
 
 CHANGE_SHARE = 0.1
-"""Least change of a limit that others are told of, as a part of it."""
+"""Least change of a limit that is announced to other entries, as a part of the
+rate announced last."""
 
 LIMITS_MAX = 16_384
-"""Limits that are remembered, the latest ones."""
+"""Most limits that are remembered; the oldest are dropped."""
 
 BUCKETS = 16
-"""Parts of the limits that are compared by themselves."""
+"""Buckets of replicas whose digests entries compare separately."""
 
-TOLD_MAX = 64
-"""Limits told in one message: some 3 kB."""
+UPDATES_MAX = 64
+"""Most limits in one message, which is then some 3 kB long."""
 
 
 class Change(enum.Enum):
-    """What news of a limit change."""
+    """Effect of an update on a replica's limit.
+
+    Attributes:
+      NONE: the change is too small to be announced, or there is none.
+      NAMED: the replica names a limit and did not before.
+      CHANGED: the rate differs by more than `CHANGE_SHARE`.
+      ENDED: the replica no longer names a limit.
+    """
 
     NONE = "none"
     NAMED = "named"
@@ -49,13 +58,13 @@
 
 
 class LimitNews(msgspec.Struct, frozen=True, array_like=True):
-    """A replica's limit, as entries tell it.
+    """A replica's limit, as entries send it to one another.
 
     Attributes:
       replica_id: the replica.
-      born_ms: Unix time of its start, None where it is not known.
-      per_s: requests a second, None if it names no limit any more.
-      age_ms: time since that was true.
+      born_ms: Unix time of the replica's start, None if it is not known.
+      per_s: requests per second, None if the limit has ended.
+      age_ms: time since the replica named the limit or its end was observed.
     """
 
     replica_id: str
@@ -64,20 +73,21 @@
     age_ms: float
 
 
-class Known(msgspec.Struct):
-    """What is known of one replica's limit.
+class KnownLimit(msgspec.Struct):
+    """What this entry knows of one replica's limit.
 
     Attributes:
-      born_ms: Unix time of the replica's start, None where it is not known.
-      per_s: requests a second, None if it names no limit any more.
-      at_ms: when that was true.
-      told_per_s: what was passed on last.
+      born_ms: Unix time of the replica's start, None if it is not known.
+      per_s: requests per second, None if the limit has ended.
+      at_ms: when the replica named the limit or its end was observed.
+      announced_per_s: rate that was last announced to other entries, None if
+        the limit's end was.
     """
 
     born_ms: int | None
     per_s: float | None
     at_ms: float
-    told_per_s: float | None
+    announced_per_s: float | None
 
 
 class ReplicaLimits:
@@ -85,27 +95,31 @@
 
     def __init__(self) -> None:
         """Knows no limit."""
-        self._known: dict[str, Known] = {}
+        self._known: dict[str, KnownLimit] = {}
         self._digests = bucket_digests.BucketDigests(BUCKETS)
 
-    def get(self, replica_id: str) -> Known | None:
-        """Returns what is known of a limit, also of one that ended."""
+    def get(self, replica_id: str) -> KnownLimit | None:
+        """Returns a replica's limit, also one that has ended."""
         return self._known.get(replica_id)
 
     def per_s(self, replica_id: str) -> float | None:
-        """Returns a replica's limit, None if it names none."""
+        """Returns a replica's limit in requests per second, None without one.
+
+        Args:
+          replica_id: the replica.
+        """
         known = self._known.get(replica_id)
         return None if known is None else known.per_s
 
-    def in_force(self) -> dict[str, Known]:
-        """Returns the limits that hold now, by replica."""
+    def in_force(self) -> dict[str, KnownLimit]:
+        """Returns the limits that have not ended, by replica."""
         return {
             replica_id: known
             for replica_id, known in self._known.items()
             if known.per_s is not None
         }
 
-    # What is learnt.
+    # Updates from answers and from other entries.
 
     def note_named(
         self,
@@ -114,54 +128,70 @@
         per_s: float,
         now_ms: clock.Millis,
     ) -> Change:
-        """Takes a limit that an own answer names."""
-        return self._take(replica_id, Known(born_ms, per_s, now_ms, None))
+        """Records a limit that an answer to this entry names.
+
+        Args:
+          replica_id: the replica.
+          born_ms: Unix time of its start, None if it is not known.
+          per_s: requests per second.
+          now_ms: when the answer arrived.
+        """
+        return self._apply(replica_id, KnownLimit(born_ms, per_s, now_ms, None))
 
     def note_unnamed(
         self, replica_id: str, born_ms: int | None, sent_ms: clock.Millis
     ) -> Change:
-        """Takes an own answer that names no limit.
+        """Records an answer to this entry that names no limit.
 
         Args:
           replica_id: the replica.
-          born_ms: Unix time of its start.
+          born_ms: Unix time of its start, None if it is not known.
           sent_ms: when the request was sent.
         """
         if self.per_s(replica_id) is None:
             return Change.NONE
-        return self._take(replica_id, Known(born_ms, None, sent_ms, None))
+        return self._apply(replica_id, KnownLimit(born_ms, None, sent_ms, None))
+
+    def merge(self, update: LimitNews, now_ms: clock.Millis) -> Change:
+        """Merges an update that another entry sent.
 
-    def merge(self, news: LimitNews, now_ms: clock.Millis) -> Change:
-        """Takes what another entry knows."""
-        at_ms = now_ms - news.age_ms
-        if news.per_s is None:
+        Args:
+          update: a replica's limit.
+          now_ms: when the update arrived.
+        """
+        at_ms = now_ms - update.age_ms
+        if update.per_s is None:
             at_ms -= TRANSIT_MS
-        told = Known(news.born_ms, news.per_s, at_ms, None)
-        return self._take(news.replica_id, told)
+        new = KnownLimit(update.born_ms, update.per_s, at_ms, None)
+        return self._apply(update.replica_id, new)
 
-    def _take(self, replica_id: str, told: Known) -> Change:
+    def _apply(self, replica_id: str, new: KnownLimit) -> Change:
         known = self._known.get(replica_id)
         if known is not None:
-            if replica_view.is_newer_start(known.born_ms, told.born_ms):
+            if replica_view.is_newer_start(known.born_ms, new.born_ms):
                 return Change.NONE
-            restarted = replica_view.is_newer_start(told.born_ms, known.born_ms)
-            if not restarted and told.at_ms <= known.at_ms:
+            restarted = replica_view.is_newer_start(new.born_ms, known.born_ms)
+            if not restarted and new.at_ms <= known.at_ms:
                 return Change.NONE
-            told.born_ms = told.born_ms or known.born_ms
-        change = _change(known, told)
-        told.told_per_s = told.per_s
+            new.born_ms = new.born_ms or known.born_ms
+        change = _change(known, new)
+        new.announced_per_s = new.per_s
         if change is Change.NONE and known is not None:
-            told.told_per_s = known.told_per_s
-        self._put(replica_id, told)
+            new.announced_per_s = known.announced_per_s
+        self._put(replica_id, new)
         return change
 
     def forget(self, replica_ids: Iterable[str]) -> None:
-        """Drops replicas that are gone or started again."""
+        """Drops the limits of replicas that are gone or have restarted."""
         for replica_id in replica_ids:
             self._drop(replica_id)
 
     def tick(self, now_ms: clock.Millis) -> None:
-        """Forgets ends that are old, and more limits than are remembered."""
+        """Drops limits that ended long ago, and the oldest beyond `LIMITS_MAX`.
+
+        Args:
+          now_ms: the time.
+        """
         for replica_id, known in list(self._known.items()):
             age_ms = now_ms - known.at_ms
             if known.per_s is None and age_ms >= ENDED_KEPT_MS:
@@ -171,12 +201,17 @@
             oldest = sorted(self._known, key=lambda r: self._known[r].at_ms)
             self.forget(oldest[:excess])
 
-    # What entries tell each other.
+    # Exchange with other entries.
 
     def told(
         self, replica_ids: Iterable[str], now_ms: clock.Millis
     ) -> list[LimitNews]:
-        """Returns what is known of some replicas' limits."""
+        """Returns updates with the known limits of some replicas.
+
+        Args:
+          replica_ids: the replicas; those without a known limit are left out.
+          now_ms: the time.
+        """
         found = ((r, self._known.get(r)) for r in replica_ids)
         return [
             LimitNews(r, known.born_ms, known.per_s, now_ms - known.at_ms)
@@ -185,11 +220,11 @@
         ]
 
     def digest(self) -> int:
-        """Returns one digest of the replicas that name a limit."""
+        """Returns one digest of all replicas that name a limit."""
         return self._digests.joined()
 
     def digests(self) -> list[int]:
-        """Returns the digest of each bucket."""
+        """Returns the digest of each bucket of replicas."""
         return self._digests.all()
 
     def differing(self, digests: list[int]) -> list[str]:
@@ -197,6 +232,10 @@
 
         Args:
           digests: the digests of the other entry's buckets.
+
+        Returns:
+          The known replicas of all buckets that differ, the most recently
+          updated first, at most `UPDATES_MAX`.
         """
         buckets = set(self._digests.differing(digests))
         found = [
@@ -205,14 +244,14 @@
             if self._digests.bucket_of(replica_id) in buckets
         ]
         latest = sorted(found, key=lambda r: -self._known[r].at_ms)
-        return latest[:TOLD_MAX]
+        return latest[:UPDATES_MAX]
 
-    def _put(self, replica_id: str, told: Known) -> None:
+    def _put(self, replica_id: str, new: KnownLimit) -> None:
         known = self._known.get(replica_id)
         before = known is not None and known.per_s is not None
-        if before != (told.per_s is not None):
+        if before != (new.per_s is not None):
             self._digests.toggle(replica_id, replica_id)
-        self._known[replica_id] = told
+        self._known[replica_id] = new
 
     def _drop(self, replica_id: str) -> None:
         known = self._known.pop(replica_id, None)
@@ -220,13 +259,13 @@
             self._digests.toggle(replica_id, replica_id)
 
 
-def _change(known: Known | None, told: Known) -> Change:
-    """Returns what news change for those who keep the limit."""
-    before = None if known is None else known.told_per_s
-    if told.per_s is None:
+def _change(known: KnownLimit | None, new: KnownLimit) -> Change:
+    """Returns how a limit differs from the one that was announced last."""
+    before = None if known is None else known.announced_per_s
+    if new.per_s is None:
         return Change.NONE if before is None else Change.ENDED
     if before is None:
         return Change.NAMED
-    if abs(told.per_s - before) > CHANGE_SHARE * before:
+    if abs(new.per_s - before) > CHANGE_SHARE * before:
         return Change.CHANGED
     return Change.NONE
--- a/src/marlramp/core/retries.py
+++ b/src/marlramp/core/retries.py
@@ -1,4 +1,4 @@
-"""Retry budget and backoff."""
+"""Retry reasons, retry budget and backoff of the grants path."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class RetryReason(enum.Enum):
-    """Why a request is tried again; each has its own counter."""
+    """Why a request is retried; each reason has its own counter."""
 
     GRANT_VOID = "grant_void"
     UPSTREAM_BUSY = "upstream_busy"
@@ -37,20 +37,25 @@
 
 
 class RetryBudget:
-    """Allows retries as a fraction of recent first tries."""
+    """Allows retries as a fraction of recent first attempts."""
 
     def __init__(self, ratio: float, burst: float) -> None:
-        """Starts with `burst` retries saved."""
+        """Creates a full budget.
+
+        Args:
+          ratio: retries that each first attempt earns.
+          burst: most retries that can be saved.
+        """
         self.ratio = ratio
         self._burst = burst
         self._saved = burst
 
     def record_request(self) -> None:
-        """Counts a first try, which earns `ratio` of a retry."""
+        """Counts a first attempt, which earns `ratio` of a retry."""
         self._saved = min(self._burst, self._saved + self.ratio)
 
     def try_spend(self) -> bool:
-        """Spends one retry; returns whether there was one."""
+        """Spends one retry if there is one; returns whether there was."""
         if self._saved < 1.0:
             return False
         self._saved -= 1.0
@@ -60,10 +65,10 @@
 def retry_reason(
     failure: errors.CallError, *, idempotent: bool
 ) -> RetryReason | None:
-    """Returns the reason to retry, or None if a retry is not safe.
+    """Returns the reason for a retry, or None if a retry is not safe.
 
-    A request that is not idempotent is tried again only with proof that it
-    did not run.
+    A request that is not idempotent is retried only if the failure proves that
+    it did not run.
     """
     reason = _REASONS.get(failure.kind)
     if reason is None:
@@ -74,6 +79,12 @@
 
 
 def backoff_ms(attempt: int, base_ms: float, cap_ms: float) -> clock.Millis:
-    """Returns a wait drawn uniformly below an exponentially growing bound."""
+    """Returns a random wait below an exponentially growing bound.
+
+    Args:
+      attempt: attempts so far; the bound doubles with each.
+      base_ms: bound for attempt 0.
+      cap_ms: largest bound.
+    """
     bound_ms = min(cap_ms, base_ms * 2.0**attempt)
     return clock.Millis(random.uniform(0.0, bound_ms))
--- a/src/marlramp/core/retry_share.py
+++ b/src/marlramp/core/retry_share.py
@@ -1,10 +1,10 @@
-"""One retry budget over all entries, divided without a coordinator.
+"""One retry budget per service, divided among entries without a coordinator.
 
-The users bound the repeats of a service in any window: a ratio of the
-requests for it, plus a fixed slack. Each entry spends the ratio of the
-requests that it took itself, and an equal part of the slack. The part is
-divided by the most entries known lately, so that the parts sum to no more
-than the slack when entries vanish or lose sight of each other.
+The retries of a service in any window are bounded by a ratio of its requests
+plus a fixed slack. Each entry spends the ratio of the requests that it received
+itself, and an equal part of the slack. The slack is divided by the largest
+number of entries known recently, so that the parts sum to no more than the
+slack when entries fail or are partitioned from each other.
 """
 
 from __future__ import annotations
@@ -14,35 +14,37 @@
 from marlramp import clock
 
 RATIO_SAFETY = 0.8
-"""Part of the ratio that is spent, since requests are counted as they are
-taken and repeats when they arrive."""
+"""Part of the ratio that is spent. The rest covers the difference between the
+time when an entry counts a request and the time when a retry arrives."""
 
 SLACK_SAFETY = 0.8
-"""Part of the slack that is spent, for entries not heard of yet."""
+"""Part of the slack that is spent. The rest is left to entries that this entry
+does not know yet."""
 
 ENTRIES_MIN = 8
-"""Entries that share the slack before others were heard of."""
+"""Least number of entries by which the slack is divided, for the time before
+this entry knows the others."""
 
 
 class RetryShare:
     """This entry's part of one service's retry budget."""
 
     def __init__(self, ratio: float, slack: float, window_ms: float) -> None:
-        """Starts with the full slack.
+        """Starts with no request and no retry counted.
 
         Args:
-          ratio: repeats allowed per request.
-          slack: repeats allowed in a window beyond that, of all entries.
+          ratio: retries allowed per request.
+          slack: further retries allowed in a window, for all entries together.
           window_ms: length of the window.
         """
         self._ratio = ratio
         self._slack = slack
         self._window_ms = window_ms
         self._requests: collections.deque[float] = collections.deque()
-        self._repeats: collections.deque[float] = collections.deque()
+        self._retries: collections.deque[float] = collections.deque()
 
     def configure(self, ratio: float, slack: float) -> None:
-        """Takes changed bounds."""
+        """Applies a changed ratio and slack."""
         self._ratio = ratio
         self._slack = slack
 
@@ -51,21 +53,31 @@
         self._requests.append(now_ms)
 
     def allowed(self, entries: int, now_ms: clock.Millis) -> float:
-        """Returns the repeats that may be spent in this window in all."""
-        self._forget(now_ms)
+        """Returns how many retries this entry may spend in the current window.
+
+        Args:
+          entries: largest number of entries known recently, this one included.
+          now_ms: the time.
+        """
+        self._drop_expired(now_ms)
         slack = self._slack * SLACK_SAFETY / max(ENTRIES_MIN, entries)
         return len(self._requests) * self._ratio * RATIO_SAFETY + slack
 
     def try_spend(self, entries: int, now_ms: clock.Millis) -> bool:
-        """Spends one repeat; returns whether there was one."""
+        """Spends one retry if there is one; returns whether there was.
+
+        Args:
+          entries: largest number of entries known recently, this one included.
+          now_ms: the time.
+        """
         allowed = self.allowed(entries, now_ms)
-        if len(self._repeats) + 1 > allowed:
+        if len(self._retries) + 1 > allowed:
             return False
-        self._repeats.append(now_ms)
+        self._retries.append(now_ms)
         return True
 
-    def _forget(self, now_ms: clock.Millis) -> None:
-        horizon_ms = now_ms - self._window_ms
-        for times in (self._requests, self._repeats):
-            while times and times[0] < horizon_ms:
+    def _drop_expired(self, now_ms: clock.Millis) -> None:
+        start_ms = now_ms - self._window_ms
+        for times in (self._requests, self._retries):
+            while times and times[0] < start_ms:
                 times.popleft()
--- a/src/marlramp/core/route_table.py
+++ b/src/marlramp/core/route_table.py
@@ -1,4 +1,4 @@
-"""Finds the route, the customer and the service of a request."""
+"""Determines the route, the customer and the service of a request."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class RouteTable:
-    """An accepted configuration, indexed for look-ups per request."""
+    """An accepted configuration, indexed for lookups per request."""
 
     def __init__(self, config: fleet.FleetConfig) -> None:
         """Indexes routes by host and customers by key."""
@@ -32,7 +32,7 @@
         """Returns the route with the longest prefix of `path` at `host`.
 
         Raises:
-          CallError: if no route fits.
+          CallError: if no route matches.
         """
         for route in self._by_host.get(host, []):
             if path.startswith(route.path_prefix):
@@ -42,13 +42,17 @@
     def customer(
         self, route: fleet.Route, authorization: str
     ) -> fleet.Customer | None:
-        """Returns the customer that holds the key of a request.
+        """Returns the customer that holds the API key of a request.
+
+        Args:
+          route: the request's route.
+          authorization: value of the request's Authorization header.
 
         Returns:
           None for a public route or without customers in the configuration.
 
         Raises:
-          CallError: if the route needs a key and this is none.
+          CallError: if the route needs a key and the header holds no known one.
         """
         if route.public or self.config.customers is None:
             return None
@@ -61,7 +65,12 @@
         return found
 
     def service_of(self, route: fleet.Route, request_key: str) -> ids.ServiceId:
-        """Returns the service for a request, by weight and `request_key`."""
+        """Returns the service for a request, chosen by the route's weights.
+
+        Args:
+          route: the request's route.
+          request_key: key that always maps to one service of a route.
+        """
         if len(route.targets) == 1:
             return route.targets[0].service_id
         total = sum(target.weight for target in route.targets)
--- a/src/marlramp/core/routing.py
+++ b/src/marlramp/core/routing.py
@@ -1,4 +1,7 @@
-"""Choice of the upstream for a request: two random choices by prediction."""
+"""Chooses an upstream on the grants path: power of two random choices.
+
+The candidates are compared by their predicted time to the first token.
+"""
 
 from __future__ import annotations
 
@@ -21,18 +24,19 @@
 
 
 class Candidate(msgspec.Struct, frozen=True):
-    """What an entry knows of one upstream.
+    """State of one upstream as an entry knows it.
 
     Attributes:
       vm_id: the upstream's VM.
-      capacity: most requests it runs at once.
-      in_flight: this entry's requests there, a fact.
-      reported_load: requests running and queued there as last reported, or
-        None for a service that reports nothing.
+      capacity: most requests that the upstream runs at once.
+      in_flight: this entry's requests at the upstream, an exact count.
+      reported_load: requests running and queued at the upstream as last
+        reported, or None for a service that reports no load.
       report_age_ms: age of that report.
-      service_ms: smoothed time to first token seen from here.
-      holds_prefix: whether it is believed to cache the request's prefix.
-      breaker_allows: whether its circuit breaker lets requests through.
+      service_ms: smoothed time to first token, as this entry observed it.
+      holds_prefix: whether the upstream is believed to cache the request's
+        prompt prefix.
+      breaker_allows: whether the circuit breaker lets requests through.
     """
 
     vm_id: ids.VmId
@@ -49,8 +53,9 @@
     """Returns whether so many breakers are open that they are ignored.
 
     Args:
-      allowing: upstreams of a service whose breaker lets requests through.
-      total: all upstreams of the service that take work, free or not.
+      allowing: number of a service's upstreams whose breaker lets requests
+        through.
+      total: number of the service's upstreams that accept work, busy or not.
     """
     return allowing < total * (1.0 - PANIC_FRACTION)
 
@@ -58,8 +63,8 @@
 def predicted_ms(candidate: Candidate) -> float:
     """Returns the predicted time to first token, in milliseconds.
 
-    The reported load decays with age towards the entry's own count, which is
-    never underestimated.
+    The reported load decays with its age towards the entry's own count of
+    requests in flight. The load is never assumed lower than that count.
     """
     load = float(candidate.in_flight)
     if candidate.reported_load is not None:
@@ -71,28 +76,28 @@
 
 
 class Chooser(Protocol):
-    """A way to choose an upstream."""
+    """Strategy that chooses an upstream for a request."""
 
     def __call__(
         self, candidates: Sequence[Candidate], rng: random.Random
     ) -> Candidate | None:
-        """Returns the chosen upstream, None if there is none."""
+        """Returns the chosen upstream, None if there is no candidate."""
         ...
 
 
 def choose_random(
     candidates: Sequence[Candidate], rng: random.Random
 ) -> Candidate | None:
-    """Chooses any upstream; a baseline."""
+    """Returns a random upstream; a baseline for experiments."""
     return rng.choice(candidates) if candidates else None
 
 
 class RoundRobin:
-    """Chooses upstreams in turn; a baseline."""
+    """Chooses upstreams round-robin; a baseline for experiments."""
 
     def __init__(self) -> None:
-        """Starts with the first."""
-        self._turn = 0
+        """Starts before the first choice."""
+        self._calls = 0
 
     def __call__(
         self, candidates: Sequence[Candidate], rng: random.Random
@@ -100,22 +105,22 @@
         """Returns the next upstream."""
         if not candidates:
             return None
-        self._turn += 1
-        return candidates[self._turn % len(candidates)]
+        self._calls += 1
+        return candidates[self._calls % len(candidates)]
 
 
 def choose(
     candidates: Sequence[Candidate], rng: random.Random
 ) -> Candidate | None:
-    """Chooses among upstreams that can take a request now.
+    """Chooses among the upstreams whose circuit breaker lets requests through.
 
     Returns:
-      The better of two random candidates, any holder of the prefix counting
-      as drawn, or None if there is none.
+      The upstream with the lowest predicted time among two random candidates
+      and all that hold the prefix, or None if no breaker allows a request.
     """
     allowed = [c for c in candidates if c.breaker_allows]
     if not allowed:
         return None
-    drawn = rng.sample(allowed, min(2, len(allowed)))
-    drawn.extend(c for c in allowed if c.holds_prefix and c not in drawn)
-    return min(drawn, key=lambda c: (predicted_ms(c), c.vm_id))
+    sampled = rng.sample(allowed, min(2, len(allowed)))
+    sampled.extend(c for c in allowed if c.holds_prefix and c not in sampled)
+    return min(sampled, key=lambda c: (predicted_ms(c), c.vm_id))
--- a/src/marlramp/core/send_limit.py
+++ b/src/marlramp/core/send_limit.py
@@ -1,4 +1,4 @@
-"""What an entry believes of the limit of one replica when it chooses."""
+"""An entry's view of one replica's rate limit when it chooses a replica."""
 
 from __future__ import annotations
 
@@ -10,17 +10,20 @@
 _MS = clock.MILLIS_PER_SECOND
 
 WAIT_SHARE_MIN = 0.25
-"""Least part of its time that a request may wait for a replica's limit."""
+"""Part of its remaining time that a request of any priority may wait for a
+replica's limit."""
 
 
 class SendLimit(msgspec.Struct):
-    """The limit of one replica, and when a request may be sent there.
+    """Rate limit of one replica and the next time to send a request to it.
 
     Attributes:
-      per_s: requests a second that it takes from all entries together.
-      next_ms: when the next request may be sent, as last told.
-      ask_ms: nothing is reserved before this time.
-      pending: own requests for which a reservation is being asked.
+      per_s: requests per second that the replica accepts from all entries
+        together.
+      next_ms: when the next request may be sent, as last reported by the
+        limiter.
+      ask_ms: time before which this entry requests no reservation.
+      pending: this entry's requests that wait for the limiter's reply.
     """
 
     per_s: float
@@ -29,13 +32,18 @@
     pending: int = 0
 
     def wait_ms(self, now_ms: clock.Millis) -> float:
-        """Returns how long a request is expected to wait before it is sent."""
+        """Returns the expected wait of a request before it may be sent."""
         rate = max(send_meter.TRIAL_PER_S, self.per_s)
         ahead_ms = self.pending * _MS / rate
         return max(0.0, self.next_ms - now_ms, self.ask_ms - now_ms) + ahead_ms
 
     def opens(self, now_ms: clock.Millis, wait_max_ms: float) -> bool:
-        """Returns whether it is worth asking for a reservation."""
+        """Returns whether a reservation in time is likely.
+
+        Args:
+          now_ms: the time.
+          wait_max_ms: longest time that the request can wait.
+        """
         if now_ms < self.ask_ms:
             return False
         return self.wait_ms(now_ms) <= wait_max_ms
@@ -44,12 +52,12 @@
 def wait_max_ms(left_ms: float, rank: int) -> float:
     """Returns how long a request may wait for replicas' limits.
 
-    Less urgent requests wait for less of their time, so that the times further
-    ahead are left to the more urgent ones.
+    Less urgent requests wait for a smaller part of their time, so that later
+    send times remain for more urgent ones.
 
     Args:
-      left_ms: time until its answer would be late.
-      rank: its priority, 0 first.
+      left_ms: time until the request's answer would be late.
+      rank: the request's priority, 0 for the most urgent.
     """
     share = max(WAIT_SHARE_MIN, 1.0 / (1.0 + max(0, rank)))
     return max(0.0, left_ms * share)
--- a/src/marlramp/core/send_meter.py
+++ b/src/marlramp/core/send_meter.py
@@ -1,9 +1,10 @@
-"""When requests may be sent to a replica that names a limit.
+"""Rate limiter that reserves the times of requests to one replica.
 
-Load pattern: more requests at all entries together than the replica takes. One
-entry reserves the times at which any of them may send, in even steps, and turns
-away whoever would wait longer than it can. What is reserved elsewhere moves the
-next time all the same, so that a second entry that stands in grants no more.
+Load pattern: all entries together have more requests for a replica than the
+limit that it names. One entry, the limiter, reserves the times at which any
+entry may send a request, at even intervals, and refuses a request that would
+have to wait too long. Reservations that another limiter made also delay the
+next time, so that a standby that takes over does not exceed the limit.
 """
 
 from __future__ import annotations
@@ -11,58 +12,67 @@
 from marlramp import clock
 
 BURST_MS = 250.0
-"""Time whose requests may be sent at once after a pause, one at least."""
+"""Length of a burst: after a pause, the requests of this time, at least one,
+may be sent at once."""
 
 TRIAL_PER_S = 0.25
-"""Least rate: only the answer to a request says that a limit has ended."""
+"""Least rate in requests per second. Some requests must be sent even at a limit
+of 0, since only the answer to a request shows that the limit has ended."""
 
-APART_FACTOR = 1.25
-"""What the entries that reach one another may use together of their equal part
-of a limit. With it no two parts of a divided fleet use more than half as much
-again as the limit."""
+PARTITION_FACTOR = 1.25
+"""Multiple of its proportional part of a limit that one side of a network
+partition may use. Two sides then use at most 1.5 times the limit."""
 
 RESERVED_MAX_MS = 2_000.0
-"""Longest time ahead for which a request is reserved."""
+"""How far ahead a send time may be reserved."""
 
 _MS = clock.MILLIS_PER_SECOND
 
 
 def rate_here(per_s: float, alive: int, known: int) -> float:
-    """Returns the part of a limit that may be used on this side of a cut.
+    """Returns the rate that may be used on this side of a network partition.
 
     Args:
-      per_s: the limit.
-      alive: entries that this one reaches, itself too.
-      known: entries known lately, itself too.
+      per_s: the limit in requests per second.
+      alive: number of entries that this one reaches, including itself.
+      known: number of entries known recently, including this one.
     """
-    share = min(1.0, APART_FACTOR * alive / max(1, known))
+    share = min(1.0, PARTITION_FACTOR * alive / max(1, known))
     return max(TRIAL_PER_S, per_s * share)
 
 
 class SendMeter:
-    """Times at which requests may be sent to one replica."""
+    """Reserves the times at which requests may be sent to one replica."""
 
     def __init__(self, now_ms: clock.Millis, per_s: float) -> None:
-        """Has just reserved one: what was sent before is not known."""
+        """Starts as if one request had just been sent.
+
+        The requests sent before are not known.
+
+        Args:
+          now_ms: the time.
+          per_s: requests per second.
+        """
         self._due_ms = now_ms + _MS / per_s
 
     def next_in_ms(self, now_ms: clock.Millis, per_s: float) -> float:
-        """Returns the time until the next request may be sent."""
+        """Returns the milliseconds until the next request may be sent."""
         burst_ms = max(0.0, BURST_MS - _MS / per_s)
         return max(0.0, self._due_ms - burst_ms - now_ms)
 
     def reserve(
         self, now_ms: clock.Millis, per_s: float, wait_max_ms: float
     ) -> float | None:
-        """Returns in how many milliseconds a request may be sent.
+        """Reserves the next time at which a request may be sent.
 
         Args:
           now_ms: the time.
-          per_s: requests a second.
-          wait_max_ms: how long the request can wait.
+          per_s: requests per second.
+          wait_max_ms: longest time that the request can wait.
 
         Returns:
-          None if it can't wait so long; then nothing is reserved.
+          Milliseconds until the request may be sent, or None if that is longer
+          than the request can wait; then nothing is reserved.
         """
         wait_ms = self.next_in_ms(now_ms, per_s)
         if wait_ms > min(wait_max_ms, RESERVED_MAX_MS):
@@ -71,5 +81,5 @@
         return wait_ms
 
     def note(self, now_ms: clock.Millis, per_s: float) -> None:
-        """Counts a request, also one that another entry reserved."""
+        """Records a reservation, also one that another entry made."""
         self._due_ms = max(now_ms, self._due_ms) + _MS / per_s
--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -28,13 +28,13 @@
 
 @pytest.fixture
 def view(make_replica: MakeReplica) -> replica_view.ReplicaView:
-    """An engine of 16 places that nothing is known of."""
+    """An engine of 16 slots whose state is unknown."""
     return replica_view.ReplicaView(make_replica(), breaker.Breaker(3, 1_500.0))
 
 
 @pytest.fixture
 def request_(engine: fleet.EngineSpec) -> admission.Request:
-    """A request of usual size from a caller that has not come before."""
+    """The first attempt of a request of typical size."""
     wanted = upstream_choice.Wanted(
         engine=engine,
         prompt_tokens=900,
@@ -69,7 +69,7 @@
     assert place_of(decision) is FRONT
 
 
-def test_request_that_is_late_already_yields(
+def test_request_that_is_already_late_goes_behind(
     view: replica_view.ReplicaView,
     request_: admission.Request,
     time: clock.ManualClock,
@@ -80,14 +80,14 @@
     assert place_of(decision) is BEHIND
 
 
-def test_herd_that_comes_back_does_not_delay_the_others(
+def test_herd_of_retries_does_not_delay_first_attempts(
     view: replica_view.ReplicaView,
     request_: admission.Request,
     time: clock.ManualClock,
     rng: random.Random,
 ) -> None:
-    # Load pattern: an outage ends, and twice as many callers come back at once
-    # as the engine has places.
+    # Load pattern: an outage ends, and twice as many callers retry at once as
+    # the engine has slots.
     herd = late(request_, 2_500.0)
     for _ in range(32):
         decision = admission.decide([view], herd, ANYWHERE, time.now_ms(), rng)
@@ -101,7 +101,7 @@
     assert again.retry_after_ms >= admission.RETRY_AFTER_MIN_MS
 
 
-def test_request_that_has_run_is_never_refused(
+def test_request_that_may_have_run_is_never_refused(
     view: replica_view.ReplicaView,
     request_: admission.Request,
     time: clock.ManualClock,
@@ -118,7 +118,7 @@
     assert place_of(decision) is FRONT
 
 
-def test_long_prompts_are_refused_no_sooner_than_usual_ones(
+def test_long_prompts_are_refused_no_sooner_than_typical_ones(
     view: replica_view.ReplicaView,
     request_: admission.Request,
     time: clock.ManualClock,
@@ -130,20 +130,21 @@
     assert place_of(decision) is FRONT
 
 
-def test_nothing_is_decided_without_a_replica(
+def test_decision_without_replicas_is_none(
     request_: admission.Request, time: clock.ManualClock, rng: random.Random
 ) -> None:
     assert admission.decide([], request_, ANYWHERE, time.now_ms(), rng) is None
 
 
-def test_requests_that_nobody_told_of_yield_like_those_that_are_known(
+def test_unreported_requests_yield_like_reported_ones(
     view: replica_view.ReplicaView,
     request_: admission.Request,
     time: clock.ManualClock,
     rng: random.Random,
 ) -> None:
-    # Load pattern: entries of three regions share an engine and tell only
-    # those of their own what they have sent there. All that waits is late.
+    # Load pattern: entries of three regions share an engine and report only to
+    # entries of their own region what they sent to it. All waiting requests
+    # are late.
     for _ in range(8):
         view.note_sent(900, time.now_ms(), BEHIND)
     view.note_load(16, 24, time.now_ms())
@@ -156,14 +157,14 @@
     assert place_of(decision) is not FRONT
 
 
-def test_waits_beyond_the_prediction_close_the_place_behind(
+def test_waits_beyond_the_prediction_refuse_requests_in_the_back(
     view: replica_view.ReplicaView,
     request_: admission.Request,
     time: clock.ManualClock,
     rng: random.Random,
 ) -> None:
-    # Load pattern: engines are full without an end, so that what waits behind
-    # never gets its turn and its callers wait in vain.
+    # Load pattern: engines are full permanently, so that requests in the back
+    # of the queue are never served and their callers wait in vain.
     view.note_load(16, 5, time.now_ms())
     request = late(request_, 1_000.0)
     decision = admission.decide([view], request, ANYWHERE, time.now_ms(), rng)
@@ -178,13 +179,13 @@
     assert place_of(decision) is BEHIND
 
 
-def test_engine_of_the_own_cell_goes_first_while_it_begins_soon(
+def test_engine_of_the_own_cell_is_preferred_while_it_begins_soon(
     make_replica: MakeReplica,
     request_: admission.Request,
     time: clock.ManualClock,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(admission, "WEIGHED_MAX", 1)
+    monkeypatch.setattr(admission, "RANK_ALL_MAX", 1)
     own = replica_view.ReplicaView(
         make_replica(replica_id="i-0", address="10.0.0.1:1"),
         breaker.Breaker(3, 1_500.0),
@@ -208,7 +209,7 @@
     assert chosen() == "i-1"
 
 
-def test_request_finds_a_place_though_its_whole_cell_is_lost(
+def test_request_goes_to_another_cell_when_its_own_is_lost(
     make_replica: MakeReplica,
     request_: admission.Request,
     time: clock.ManualClock,
@@ -224,13 +225,13 @@
     assert choice.view is far
 
 
-def test_idle_plain_replicas_are_not_all_left_for_one(
+def test_idle_plain_replicas_share_the_load(
     make_replica: MakeReplica,
     request_: admission.Request,
     time: clock.ManualClock,
     rng: random.Random,
 ) -> None:
-    """Entries that believe the same of idle replicas sent all to one."""
+    """Entries with equal estimates for idle replicas sent all load to one."""
     views = [
         replica_view.ReplicaView(
             make_replica(replica_id=f"i-{n}", weights=None),
@@ -287,7 +288,7 @@
     answers: int,
     age_ms: float,
 ) -> None:
-    """One slow answer kept a replica from work for good."""
+    """One slow answer excluded a replica permanently."""
     views = [
         replica_view.ReplicaView(
             make_replica(replica_id=f"i-{n}", weights=None),
@@ -312,13 +313,13 @@
     assert chosen == {"i-0", "i-1"}
 
 
-def test_plain_replica_a_tenth_slower_than_eleven_others_gets_its_part(
+def test_plain_replica_a_tenth_slower_than_eleven_others_gets_its_share(
     make_replica: MakeReplica,
     request_: admission.Request,
     time: clock.ManualClock,
     rng: random.Random,
 ) -> None:
-    """An idle replica got none of 90 requests for a millisecond."""
+    """An idle replica that was 1 ms slower received none of 90 requests."""
     front_bias = wait_bias.WaitBias()
     views = [
         replica_view.ReplicaView(
@@ -348,13 +349,13 @@
     assert sent > 90 / 2
 
 
-def test_plain_replica_that_refused_once_gets_its_part_after_a_while(
+def test_plain_replica_that_refused_once_gets_its_share_after_a_while(
     make_replica: MakeReplica,
     request_: admission.Request,
     time: clock.ManualClock,
     rng: random.Random,
 ) -> None:
-    """A refusal of seconds ago left a replica without work among idle ones."""
+    """A refusal excluded a replica among idle ones for seconds."""
     views = [
         replica_view.ReplicaView(
             make_replica(replica_id=f"i-{n}", weights=None),
@@ -380,13 +381,13 @@
     assert sent > 0
 
 
-def test_plain_replica_that_failed_once_gets_its_part_after_a_while(
+def test_plain_replica_that_failed_once_gets_its_share_after_a_while(
     make_replica: MakeReplica,
     request_: admission.Request,
     time: clock.ManualClock,
     rng: random.Random,
 ) -> None:
-    """One connection reset kept an idle replica from work for good."""
+    """One connection reset excluded an idle replica permanently."""
     views = [
         replica_view.ReplicaView(
             make_replica(replica_id=f"i-{n}", weights=None),
@@ -414,7 +415,7 @@
 
 @pytest.fixture
 def plain(request_: admission.Request) -> admission.Request:
-    """A request to a plain service that may wait for limits a little."""
+    """A request to a plain service that may wait 200 ms for limits."""
     wanted = msgspec.structs.replace(
         request_.wanted, engine=None, limit_wait_max_ms=200.0
     )
@@ -424,7 +425,7 @@
 def used_up(
     make_replica: MakeReplica, replica_id: str, now_ms: clock.Millis
 ) -> replica_view.ReplicaView:
-    """A replica whose limit leaves no room for 2 s."""
+    """A replica whose limit allows no request for 2 s."""
     return replica_view.ReplicaView(
         make_replica(replica_id=replica_id, weights=None),
         breaker.Breaker(3, 1_500.0),
@@ -458,24 +459,24 @@
     assert admission.decide(views, ran, ANYWHERE, now_ms, rng) is None
 
 
-def test_request_waits_for_a_replica_without_limit_that_is_spared(
+def test_request_waits_for_a_replica_without_limit_that_is_backed_off(
     make_replica: MakeReplica,
     plain: admission.Request,
     time: clock.ManualClock,
     rng: random.Random,
 ) -> None:
-    """One limit that was used up had it refused before the other opened."""
+    """One limit that was used up refused it before the backoff had ended."""
     now_ms = time.now_ms()
-    spared = replica_view.ReplicaView(
+    backed_off = replica_view.ReplicaView(
         make_replica(replica_id="i-1", weights=None),
         breaker.Breaker(3, 1_500.0),
     )
-    spared.availability.back_off(10.0, now_ms)
-    views = [used_up(make_replica, "i-0", now_ms), spared]
+    backed_off.availability.back_off(10.0, now_ms)
+    views = [used_up(make_replica, "i-0", now_ms), backed_off]
     assert admission.decide(views, plain, ANYWHERE, now_ms, rng) is None
 
 
-def test_open_breakers_do_not_open_a_limit(
+def test_open_breakers_do_not_lift_a_limit(
     make_replica: MakeReplica,
     plain: admission.Request,
     time: clock.ManualClock,
@@ -559,13 +560,13 @@
     assert decision.view is leaving
 
 
-def test_replicas_that_all_turned_away_are_asked_again_one_at_a_time(
+def test_replicas_that_all_refused_get_one_trial_request_at_a_time(
     make_replica: MakeReplica,
     plain: admission.Request,
     time: clock.ManualClock,
     rng: random.Random,
 ) -> None:
-    """Callers were refused for 2.4 s beside replicas that served again."""
+    """Callers were refused for 2.4 s after the replicas had recovered."""
     views = [paused(make_replica, f"i-{n}", 0.0, 0.0) for n in range(3)]
     now_ms = time.now_ms()
     for _ in range(6):
--- a/tests/core/test_availability.py
+++ b/tests/core/test_availability.py
@@ -7,11 +7,11 @@
 
 @pytest.fixture
 def replica() -> availability.Availability:
-    """One that has said nothing."""
+    """A replica that has not answered yet."""
     return availability.Availability()
 
 
-def test_pause_is_kept_whole(replica: availability.Availability) -> None:
+def test_pause_lasts_to_its_end(replica: availability.Availability) -> None:
     assert replica.note_pause(3_000.0, 0.0, 100.0) is availability.Change.ASKED
     assert not replica.opens(100.0)
     assert not replica.opens(3_099.0)
@@ -29,7 +29,7 @@
     assert replica.opens(3_000.0)
 
 
-def test_answer_that_serves_does_not_end_a_pause(
+def test_served_request_does_not_end_a_pause(
     replica: availability.Availability,
 ) -> None:
     replica.note_pause(3_000.0, 0.0, 100.0)
@@ -38,7 +38,7 @@
     assert not replica.opens(2_000.0)
 
 
-def test_entries_return_from_one_pause_at_times_of_their_own() -> None:
+def test_entries_return_from_one_pause_at_different_times() -> None:
     opened_ms = set()
     for spread in (0.0, 0.3, 0.9):
         replica = availability.Availability()
@@ -49,7 +49,7 @@
     assert max(opened_ms) < 3_300.0
 
 
-def test_one_request_finds_out_whether_a_pause_has_helped(
+def test_one_trial_request_is_sent_after_a_pause(
     replica: availability.Availability,
 ) -> None:
     replica.note_pause(1_000.0, 0.0, 10.0)
@@ -70,19 +70,19 @@
     assert replica.opens(200.0 + availability.TRIAL_MS)
 
 
-def test_refusals_in_a_row_double_the_backoff_up_to_a_bound(
+def test_consecutive_refusals_double_the_backoff_up_to_a_bound(
     replica: availability.Availability,
 ) -> None:
     now_ms = 0.0
-    spared_ms = []
+    backoffs_ms = []
     for _ in range(7):
         replica.note_refused(now_ms, now_ms)
         start_ms = now_ms
         while replica.backoff_ms(now_ms):
             now_ms += 50.0
-        spared_ms.append(now_ms - start_ms)
-    assert spared_ms[:3] == [150.0, 300.0, 600.0]
-    assert spared_ms[-1] == availability.BACKOFF_MAX_MS
+        backoffs_ms.append(now_ms - start_ms)
+    assert backoffs_ms[:3] == [150.0, 300.0, 600.0]
+    assert backoffs_ms[-1] == availability.BACKOFF_MAX_MS
 
 
 def test_refusals_of_requests_sent_together_count_once(
@@ -93,7 +93,7 @@
     assert replica.opens(10.0 + availability.BACKOFF_MIN_MS)
 
 
-def test_refusal_of_a_request_that_waited_does_not_double_the_backoff(
+def test_refusal_of_a_queued_request_does_not_double_the_backoff(
     replica: availability.Availability,
 ) -> None:
     for number in range(5):
@@ -111,7 +111,7 @@
     assert not replica.opens(220.0)
 
 
-def test_refusals_are_forgotten_with_time(
+def test_share_of_refusals_decays_with_time(
     replica: availability.Availability,
 ) -> None:
     replica.note_refused(0.0, 0.0)
@@ -120,7 +120,7 @@
     assert replica.refusal_share(later_ms) == pytest.approx(share / 2.0)
 
 
-def test_replica_that_leaves_gets_requests_until_its_drain_time_is_over(
+def test_leaving_replica_gets_requests_until_its_drain_time_is_over(
     replica: availability.Availability,
 ) -> None:
     assert replica.note_leaving(2_000.0, 100.0)
--- a/tests/core/test_caller_waits.py
+++ b/tests/core/test_caller_waits.py
@@ -7,11 +7,11 @@
 TIMEOUT_MS = 6_000.0
 
 
-def test_callers_that_differ_in_how_long_they_wait_are_taken_as_new(
+def test_callers_that_differ_in_how_long_they_wait_count_as_new(
     rng: random.Random,
 ) -> None:
-    # Replays callers that differ by 15%: half of them would count as having
-    # come before if they were held to nearly all of the route's time.
+    # The waits of callers differ by 15%. With an estimate of nearly the whole
+    # timeout of the route, half of the first attempts would count as retries.
     waits = caller_waits.CallerWaits(TIMEOUT_MS)
     spent = [
         waits.spent_ms(TIMEOUT_MS * rng.uniform(0.85, 1.0)) for _ in range(500)
@@ -19,12 +19,12 @@
     assert not any(spent)
 
 
-def test_caller_that_has_waited_is_known_by_what_is_left() -> None:
+def test_retry_is_recognised_by_the_time_that_is_left() -> None:
     waits = caller_waits.CallerWaits(TIMEOUT_MS)
     assert waits.spent_ms(3_600.0) > 1_000.0
 
 
-def test_callers_with_less_patience_are_learnt(rng: random.Random) -> None:
+def test_estimate_adapts_to_callers_that_wait_less(rng: random.Random) -> None:
     waits = caller_waits.CallerWaits(TIMEOUT_MS)
     for _ in range(2_000):
         waits.spent_ms(TIMEOUT_MS * rng.uniform(0.5, 1.0))
@@ -34,11 +34,11 @@
     assert sum(value > 0.0 for value in spent) < 50
 
 
-def test_herd_that_comes_back_does_not_pass_as_new() -> None:
+def test_herd_of_retries_does_not_count_as_first_attempts() -> None:
     waits = caller_waits.CallerWaits(TIMEOUT_MS)
     spent = [waits.spent_ms(0.5 * TIMEOUT_MS) for _ in range(100)]
     assert spent[-1] > 0.15 * TIMEOUT_MS
 
 
-def test_caller_that_says_nothing_is_new() -> None:
+def test_caller_that_states_no_wait_counts_as_new() -> None:
     assert caller_waits.CallerWaits(TIMEOUT_MS).spent_ms(None) == 0.0
--- a/tests/core/test_limits.py
+++ b/tests/core/test_limits.py
@@ -4,7 +4,7 @@
 from marlramp.core import limits
 
 
-def test_refusal_says_when_to_come_back(time: clock.ManualClock) -> None:
+def test_refusal_returns_the_time_to_retry(time: clock.ManualClock) -> None:
     bucket = limits.TokenBucket(10.0, 1.0, time.now_ms())
     assert bucket.try_take(1.0, time.now_ms()) == 0
     wait_ms = bucket.try_take(1.0, time.now_ms())
@@ -30,7 +30,7 @@
     assert admitted <= 100.0 * 10.0 + 100.0
 
 
-def test_unused_tokens_come_back(time: clock.ManualClock) -> None:
+def test_unused_tokens_are_refunded(time: clock.ManualClock) -> None:
     limit = limits.CustomerLimit(1e6, 100.0, 1.0, 1, time.now_ms())
     assert limit.admit(100, time.now_ms()) == 0
     assert limit.admit(50, time.now_ms()) > 0
--- a/tests/core/test_lookup_share.py
+++ b/tests/core/test_lookup_share.py
@@ -7,7 +7,7 @@
 from marlramp.core import lookup_share
 from marlramp.core import members
 
-PLACES = [f"dc-{n}" for n in range(5)]
+DATA_CENTRES = [f"dc-{n}" for n in range(5)]
 
 
 def entries(count: int) -> list[members.Member]:
@@ -15,7 +15,7 @@
         members.Member(
             f"entry-{n}",
             members.MemberKind.ENTRY,
-            PLACES[n % 5],
+            DATA_CENTRES[n % 5],
             "127.0.0.1",
             1,
         )
@@ -23,17 +23,17 @@
     ]
 
 
-def test_few_entries_are_all_named() -> None:
+def test_few_entries_are_all_returned() -> None:
     found = entries(lookup_share.ADDRESSES_MAX)
-    assert lookup_share.share_of("dc-1", PLACES, found) == found
+    assert lookup_share.share_of("dc-1", DATA_CENTRES, found) == found
 
 
 @pytest.mark.parametrize("count", [65, 98, 134, 630])
-def test_every_entry_is_named_as_often_as_any_other(count: int) -> None:
+def test_every_entry_is_returned_as_often_as_any_other(count: int) -> None:
     found = entries(count)
     named: collections.Counter[str] = collections.Counter()
-    for place in PLACES:
-        part = lookup_share.share_of(place, PLACES, found)
+    for data_centre in DATA_CENTRES:
+        part = lookup_share.share_of(data_centre, DATA_CENTRES, found)
         assert len({entry.vm_id for entry in part}) == 64
         named.update(entry.vm_id for entry in part)
     counts = [named[entry.vm_id] for entry in found]
@@ -42,12 +42,12 @@
 
 def test_callers_keep_most_entries_when_one_goes() -> None:
     found = entries(98)
-    before = lookup_share.share_of("dc-2", PLACES, found)
-    after = lookup_share.share_of("dc-2", PLACES, found[1:])
+    before = lookup_share.share_of("dc-2", DATA_CENTRES, found)
+    after = lookup_share.share_of("dc-2", DATA_CENTRES, found[1:])
     kept = {e.vm_id for e in before} & {e.vm_id for e in after}
     assert len(kept) >= lookup_share.ADDRESSES_MAX - 2
 
 
-def test_caller_without_a_known_place_is_told_too() -> None:
-    part = lookup_share.share_of("", PLACES, entries(98))
+def test_caller_of_an_unknown_data_centre_gets_entries_too() -> None:
+    part = lookup_share.share_of("", DATA_CENTRES, entries(98))
     assert len(part) == lookup_share.ADDRESSES_MAX
--- a/tests/core/test_replica_limits.py
+++ b/tests/core/test_replica_limits.py
@@ -1,4 +1,4 @@
-"""What an entry knows of limits, whatever the order of the news."""
+"""Tests that limits merge alike whatever the order of the updates."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     return clock.Millis(ms)
 
 
-def news(
+def update(
     per_s: float | None, age_ms: float = 0.0, born_ms: int | None = 1
 ) -> replica_limits.LimitNews:
     return replica_limits.LimitNews(REPLICA, born_ms, per_s, age_ms)
@@ -40,7 +40,7 @@
     assert limits.per_s(REPLICA) == 2.0
 
 
-def test_small_changes_are_told_once_they_add_up() -> None:
+def test_small_changes_are_announced_once_they_add_up() -> None:
     limits = replica_limits.ReplicaLimits()
     limits.note_named(REPLICA, 1, 2.0, at(0))
     changes = [
@@ -51,30 +51,30 @@
     assert changes[2] is replica_limits.Change.CHANGED
 
 
-def test_news_older_than_what_is_known_change_nothing() -> None:
+def test_update_older_than_the_known_limit_is_ignored() -> None:
     limits = replica_limits.ReplicaLimits()
     limits.note_named(REPLICA, 1, 2.0, at(1_000))
     assert (
-        limits.merge(news(5.0, age_ms=900), at(1_100))
+        limits.merge(update(5.0, age_ms=900), at(1_100))
         is replica_limits.Change.NONE
     )
     limits.note_unnamed(REPLICA, 1, at(1_200))
-    limits.merge(news(5.0, age_ms=500), at(1_300))
+    limits.merge(update(5.0, age_ms=500), at(1_300))
     assert limits.per_s(REPLICA) is None
 
 
-def test_limit_of_an_earlier_start_does_not_come_back() -> None:
+def test_limit_from_before_a_restart_is_not_restored() -> None:
     limits = replica_limits.ReplicaLimits()
     limits.note_named(REPLICA, 2, 1.0, at(100))
-    limits.merge(news(9.0, born_ms=1), at(500))
+    limits.merge(update(9.0, born_ms=1), at(500))
     assert limits.per_s(REPLICA) == 1.0
-    limits.merge(news(3.0, age_ms=450.0, born_ms=3), at(500))
+    limits.merge(update(3.0, age_ms=450.0, born_ms=3), at(500))
     assert limits.per_s(REPLICA) == 3.0
 
 
-def test_news_merge_in_any_order_to_the_same_limit() -> None:
-    told = [news(1.0, 900.0), news(2.0, 600.0), news(None, 300.0)]
-    for order in itertools.permutations(told):
+def test_updates_merge_in_any_order_to_equal_limits() -> None:
+    updates = [update(1.0, 900.0), update(2.0, 600.0), update(None, 300.0)]
+    for order in itertools.permutations(updates):
         limits = replica_limits.ReplicaLimits()
         for each in order:
             limits.merge(each, at(1_000))
--- a/tests/core/test_routing.py
+++ b/tests/core/test_routing.py
@@ -20,7 +20,7 @@
     return msgspec.structs.replace(plain, **changes)
 
 
-def test_busy_upstream_gets_less(rng: random.Random) -> None:
+def test_busy_upstream_gets_fewer_requests(rng: random.Random) -> None:
     candidates = [candidate(0, in_flight=8), candidate(1), candidate(2)]
     chosen = collections.Counter(
         found.vm_id
--- a/tests/core/test_send_meter.py
+++ b/tests/core/test_send_meter.py
@@ -1,4 +1,4 @@
-"""Reservations under a limit."""
+"""Tests of the send times that a limiter reserves, and of its assignment."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
     assert most <= per_s * WINDOW_MS / 1_000.0 + burst + 1
 
 
-def test_request_that_can_not_wait_reserves_nothing() -> None:
+def test_request_that_cannot_wait_reserves_nothing() -> None:
     meter = send_meter.SendMeter(at(0), 1.0)
     assert meter.reserve(at(100), 1.0, 800.0) is None
     assert meter.reserve(at(100), 1.0, 900.0) == pytest.approx(900.0)
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize("known", [2, 3, 8, 44])
-def test_parts_of_a_divided_fleet_stay_within_what_is_allowed(
+def test_sides_of_a_partition_together_stay_within_the_allowed_excess(
     known: int,
 ) -> None:
     for part in range(1, known):
@@ -70,7 +70,7 @@
     assert send_meter.rate_here(10.0, known, known) == 10.0
 
 
-def test_limit_of_nothing_leaves_a_trial() -> None:
+def test_limit_of_zero_allows_trial_requests() -> None:
     assert send_meter.rate_here(0.0, 1, 1) == send_meter.TRIAL_PER_S
     window_s = WINDOW_MS / 1_000.0
     assert send_meter.TRIAL_PER_S * window_s + 1 <= EXCESS_REQUESTS
@@ -82,32 +82,32 @@
     )
 
 
-def test_meters_are_in_the_replicas_region_if_any_entry_is() -> None:
+def test_limiters_are_in_the_replicas_region_if_any_entry_is() -> None:
     regions = {"dc-0": "north", "dc-1": "north", "dc-2": "south"}
     entries = [member(n, f"dc-{n % 3}") for n in range(9)]
     names = meter_duty.meters_of("i-1", "dc-2", entries, regions)
-    assert len(names) == meter_duty.METERS
+    assert len(names) == meter_duty.LIMITERS
     assert set(names) <= {"entry-2", "entry-5", "entry-8"}
     north = [entry for entry in entries if entry.data_centre != "dc-2"]
     assert meter_duty.meters_of("i-1", "dc-2", north, regions)
     assert meter_duty.meters_of("i-1", "dc-2", [], regions) == []
 
 
-def test_second_meter_takes_over_for_the_first() -> None:
+def test_standby_limiter_takes_over_from_the_first() -> None:
     entries = [member(n, "dc-0") for n in range(9)]
     first, second = meter_duty.meters_of("i-1", "dc-0", entries, {})
     rest = [entry for entry in entries if entry.vm_id != first]
     assert meter_duty.meters_of("i-1", "dc-0", rest, {})[0] == second
 
 
-def test_less_urgent_requests_leave_later_times_to_urgent_ones() -> None:
+def test_less_urgent_requests_wait_for_less_of_their_time() -> None:
     waits = [send_limit.wait_max_ms(200.0, rank) for rank in (0, 1, 2, 9)]
     assert waits == sorted(waits, reverse=True)
     assert waits[0] == 200.0
     assert send_limit.wait_max_ms(-5.0, 0) == 0.0
 
 
-def test_own_requests_that_ask_already_are_waited_for() -> None:
+def test_pending_reservations_add_to_the_expected_wait() -> None:
     limit = send_limit.SendLimit(per_s=2.0, next_ms=100.0)
     assert limit.opens(at(0), 100.0)
     limit.pending = 1
