--- a/src/marlramp/core/availability.py
+++ b/src/marlramp/core/availability.py
@@ -91,7 +91,7 @@
 
     # Updates from answers and sends.
 
-    def note_pause(
+    def record_pause(
         self, wait_ms: float, spread: float, now_ms: clock.Millis
     ) -> Change:
         """Records a pause that the replica asked for.
--- a/src/marlramp/direct/calls/replica_signals.py
+++ b/src/marlramp/direct/calls/replica_signals.py
@@ -112,7 +112,7 @@
             self._note_unreadable(replica_id, answer.retry_after_unreadable)
         if answer.retry_after_ms is None:
             return
-        change = view.availability.note_pause(
+        change = view.availability.record_pause(
             answer.retry_after_ms, self._rng.random(), now_ms
         )
         if change is availability.Change.NONE:
--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -497,7 +497,7 @@
         make_replica(replica_id=name, weights=None),
         breaker.Breaker(3, 1_500.0),
     )
-    view.availability.note_pause(wait_ms, 0.0, now_ms)
+    view.availability.record_pause(wait_ms, 0.0, now_ms)
     return view
 
 
@@ -554,7 +554,7 @@
         )
         assert isinstance(decision, upstream_choice.Choice)
         assert decision.view is other
-    other.availability.note_pause(3_000.0, 0.0, now_ms)
+    other.availability.record_pause(3_000.0, 0.0, now_ms)
     decision = admission.decide([leaving, other], plain, ANYWHERE, now_ms, rng)
     assert isinstance(decision, upstream_choice.Choice)
     assert decision.view is leaving
--- a/tests/core/test_availability.py
+++ b/tests/core/test_availability.py
@@ -12,7 +12,9 @@
 
 
 def test_pause_lasts_to_its_end(replica: availability.Availability) -> None:
-    assert replica.note_pause(3_000.0, 0.0, 100.0) is availability.Change.ASKED
+    assert (
+        replica.record_pause(3_000.0, 0.0, 100.0) is availability.Change.ASKED
+    )
     assert not replica.opens(100.0)
     assert not replica.opens(3_099.0)
     assert replica.opens(3_100.0)
@@ -23,8 +25,8 @@
     replica: availability.Availability, waits_ms: tuple[float, float]
 ) -> None:
     first_ms, second_ms = waits_ms
-    replica.note_pause(first_ms, 0.0, 0.0)
-    replica.note_pause(second_ms, 0.0, 10.0)
+    replica.record_pause(first_ms, 0.0, 0.0)
+    replica.record_pause(second_ms, 0.0, 10.0)
     assert not replica.opens(2_999.0)
     assert replica.opens(3_000.0)
 
@@ -32,7 +34,7 @@
 def test_served_request_does_not_end_a_pause(
     replica: availability.Availability,
 ) -> None:
-    replica.note_pause(3_000.0, 0.0, 100.0)
+    replica.record_pause(3_000.0, 0.0, 100.0)
     replica.note_served(50.0, 110.0)
     replica.note_served(120.0, 130.0)
     assert not replica.opens(2_000.0)
@@ -42,7 +44,7 @@
     opened_ms = set()
     for spread in (0.0, 0.3, 0.9):
         replica = availability.Availability()
-        replica.note_pause(3_000.0, spread, 0.0)
+        replica.record_pause(3_000.0, spread, 0.0)
         opened_ms.add(replica.paused_until_ms)
     assert len(opened_ms) == 3
     assert min(opened_ms) == 3_000.0
@@ -52,7 +54,7 @@
 def test_one_trial_request_is_sent_after_a_pause(
     replica: availability.Availability,
 ) -> None:
-    replica.note_pause(1_000.0, 0.0, 10.0)
+    replica.record_pause(1_000.0, 0.0, 10.0)
     replica.note_refused(0.0, 10.0)
     assert replica.opens(1_010.0)
     replica.note_sent(1_010.0)
--- a/tests/direct/calls/test_forwarder.py
+++ b/tests/direct/calls/test_forwarder.py
@@ -457,7 +457,7 @@
         ) -> http1_client.ReplicaConnection:
             if to_port == port:
                 await asyncio.sleep(0.1)
-                view.availability.note_pause(3_000.0, 0.0, time.now_ms())
+                view.availability.record_pause(3_000.0, 0.0, time.now_ms())
             return await connect(host, to_port, time)
 
         monkeypatch.setattr(http1_client, "connect", connect_late)
@@ -528,7 +528,7 @@
     async def use(entry: conftest.Entry) -> None:
         view = entry.table.get("i-1")
         assert view is not None
-        view.availability.note_pause(300.0, 0.0, entry.time.now_ms())
+        view.availability.record_pause(300.0, 0.0, entry.time.now_ms())
         answer = await entry.call(path, wait_ms=1_500)
         assert status_of(answer) == 200
         assert b"id: 6" in answer or b"ok" in answer
