--- a/src/marlramp/core/availability.py
+++ b/src/marlramp/core/availability.py
@@ -130,7 +130,9 @@
         self.leaves_by_ms = now_ms + drain_ms - LEAVING_MARGIN_MS
         return True
 
-    def note_refused(self, sent_ms: clock.Millis, now_ms: clock.Millis) -> None:
+    def record_refusal(
+        self, sent_ms: clock.Millis, now_ms: clock.Millis
+    ) -> None:
         """Records that the replica refused a request.
 
         A refusal later than `TRIAL_MS` is of a request that waited in the
--- a/src/marlramp/direct/calls/replica_signals.py
+++ b/src/marlramp/direct/calls/replica_signals.py
@@ -76,7 +76,7 @@
         if answer.status in _PAUSING:
             self._note_pause(view, answer, now_ms)
         if answer.not_run:
-            view.availability.note_refused(sent_ms, now_ms)
+            view.availability.record_refusal(sent_ms, now_ms)
         elif answer.status not in _REFUSING:
             view.availability.note_served(sent_ms, now_ms)
 
--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -365,7 +365,7 @@
     ]
     for view in views:
         view.note_answered(11.0, time.now_ms())
-    views[0].availability.note_refused(time.now_ms(), time.now_ms())
+    views[0].availability.record_refusal(time.now_ms(), time.now_ms())
     time.advance(3_000.0)
     plain = msgspec.structs.replace(
         request_,
@@ -571,7 +571,7 @@
     now_ms = time.now_ms()
     for _ in range(6):
         for view in views:
-            view.availability.note_refused(now_ms, now_ms)
+            view.availability.record_refusal(now_ms, now_ms)
     now_ms = clock.Millis(now_ms + availability.TRIAL_MS)
     first = admission.decide(views, plain, ANYWHERE, now_ms, rng)
     assert isinstance(first, upstream_choice.Choice)
--- a/tests/core/test_availability.py
+++ b/tests/core/test_availability.py
@@ -55,7 +55,7 @@
     replica: availability.Availability,
 ) -> None:
     replica.record_pause(1_000.0, 0.0, 10.0)
-    replica.note_refused(0.0, 10.0)
+    replica.record_refusal(0.0, 10.0)
     assert replica.opens(1_010.0)
     replica.note_sent(1_010.0)
     assert not replica.opens(1_020.0)
@@ -66,7 +66,7 @@
 def test_trial_without_an_answer_lets_the_next_one_through(
     replica: availability.Availability,
 ) -> None:
-    replica.note_refused(0.0, 0.0)
+    replica.record_refusal(0.0, 0.0)
     replica.note_sent(200.0)
     assert not replica.opens(200.0 + availability.TRIAL_MS - 1.0)
     assert replica.opens(200.0 + availability.TRIAL_MS)
@@ -78,7 +78,7 @@
     now_ms = 0.0
     backoffs_ms = []
     for _ in range(7):
-        replica.note_refused(now_ms, now_ms)
+        replica.record_refusal(now_ms, now_ms)
         start_ms = now_ms
         while replica.backoff_ms(now_ms):
             now_ms += 50.0
@@ -91,7 +91,7 @@
     replica: availability.Availability,
 ) -> None:
     for answered_ms in (10.0, 11.0, 12.0, 13.0):
-        replica.note_refused(5.0, answered_ms)
+        replica.record_refusal(5.0, answered_ms)
     assert replica.opens(10.0 + availability.BACKOFF_MIN_MS)
 
 
@@ -99,7 +99,7 @@
     replica: availability.Availability,
 ) -> None:
     for number in range(5):
-        replica.note_refused(0.0, 1_000.0 + number)
+        replica.record_refusal(0.0, 1_000.0 + number)
     assert replica.refusal_share(1_010.0) == 0.0
     assert replica.opens(1_010.0 + availability.BACKOFF_MIN_MS)
 
@@ -107,7 +107,7 @@
 def test_answer_to_a_request_sent_before_a_refusal_is_no_recovery(
     replica: availability.Availability,
 ) -> None:
-    replica.note_refused(10.0, 20.0)
+    replica.record_refusal(10.0, 20.0)
     replica.note_sent(200.0)
     replica.note_served(15.0, 210.0)
     assert not replica.opens(220.0)
@@ -116,7 +116,7 @@
 def test_share_of_refusals_decays_with_time(
     replica: availability.Availability,
 ) -> None:
-    replica.note_refused(0.0, 0.0)
+    replica.record_refusal(0.0, 0.0)
     share = replica.refusal_share(0.0)
     later_ms = availability.REFUSAL_HALF_LIFE_MS
     assert replica.refusal_share(later_ms) == pytest.approx(share / 2.0)
--- a/tests/direct/calls/test_forwarder.py
+++ b/tests/direct/calls/test_forwarder.py
@@ -547,7 +547,7 @@
         (view,) = entry.table
         now_ms = entry.time.now_ms()
         for _ in range(6):
-            view.availability.note_refused(now_ms, now_ms)
+            view.availability.record_refusal(now_ms, now_ms)
         assert status_of(await entry.call("/safe/x")) == 200
         assert len(replica.seen) == 1
 
