--- a/src/marlramp/core/availability.py
+++ b/src/marlramp/core/availability.py
@@ -156,7 +156,9 @@
         self._refused_ms = now_ms
         self.back_off(wait_ms, now_ms)
 
-    def note_served(self, sent_ms: clock.Millis, now_ms: clock.Millis) -> None:
+    def record_served(
+        self, sent_ms: clock.Millis, now_ms: clock.Millis
+    ) -> None:
         """Records that the replica served a request.
 
         Args:
--- a/src/marlramp/direct/calls/replica_signals.py
+++ b/src/marlramp/direct/calls/replica_signals.py
@@ -78,7 +78,7 @@
         if answer.not_run:
             view.availability.record_refusal(sent_ms, now_ms)
         elif answer.status not in _REFUSING:
-            view.availability.note_served(sent_ms, now_ms)
+            view.availability.record_served(sent_ms, now_ms)
 
     def note_leaving(self, view: replica_view.ReplicaView, source: str) -> None:
         """Takes that a replica leaves.
--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -577,7 +577,7 @@
     assert isinstance(first, upstream_choice.Choice)
     first.view.note_sent(0, now_ms)
     assert admission.decide(views, plain, ANYWHERE, now_ms, rng) is None
-    first.view.availability.note_served(now_ms, now_ms)
+    first.view.availability.record_served(now_ms, now_ms)
     later_ms = clock.Millis(now_ms + availability.TRIAL_MS)
     again = admission.decide(views, plain, ANYWHERE, later_ms, rng)
     assert isinstance(again, upstream_choice.Choice)
--- a/tests/core/test_availability.py
+++ b/tests/core/test_availability.py
@@ -35,8 +35,8 @@
     replica: availability.Availability,
 ) -> None:
     replica.record_pause(3_000.0, 0.0, 100.0)
-    replica.note_served(50.0, 110.0)
-    replica.note_served(120.0, 130.0)
+    replica.record_served(50.0, 110.0)
+    replica.record_served(120.0, 130.0)
     assert not replica.opens(2_000.0)
 
 
@@ -59,7 +59,7 @@
     assert replica.opens(1_010.0)
     replica.note_sent(1_010.0)
     assert not replica.opens(1_020.0)
-    replica.note_served(1_010.0, 1_030.0)
+    replica.record_served(1_010.0, 1_030.0)
     assert replica.opens(1_030.0)
 
 
@@ -109,7 +109,7 @@
 ) -> None:
     replica.record_refusal(10.0, 20.0)
     replica.note_sent(200.0)
-    replica.note_served(15.0, 210.0)
+    replica.record_served(15.0, 210.0)
     assert not replica.opens(220.0)
 
 
