--- a/src/marlramp/core/availability.py
+++ b/src/marlramp/core/availability.py
@@ -117,7 +117,7 @@
         self.paused_until_ms = until_ms
         return change
 
-    def note_leaving(self, drain_ms: float, now_ms: clock.Millis) -> bool:
+    def record_leaving(self, drain_ms: float, now_ms: clock.Millis) -> bool:
         """Records that the replica leaves; returns whether that is new.
 
         Args:
--- a/src/marlramp/direct/calls/replica_signals.py
+++ b/src/marlramp/direct/calls/replica_signals.py
@@ -88,7 +88,7 @@
           source: who says so: an answer to this entry, or the agent beside it.
         """
         now_ms = self._clock.now_ms()
-        if not view.availability.note_leaving(self._drain_ms, now_ms):
+        if not view.availability.record_leaving(self._drain_ms, now_ms):
             return
         replica_id = view.replica.replica_id
         self._leaving[replica_id] = view
--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -546,7 +546,7 @@
 ) -> None:
     now_ms = time.now_ms()
     leaving = paused(make_replica, "i-0", 0.0, now_ms)
-    leaving.availability.note_leaving(2_000.0, now_ms)
+    leaving.availability.record_leaving(2_000.0, now_ms)
     other = paused(make_replica, "i-1", 0.0, now_ms)
     for _ in range(9):
         decision = admission.decide(
--- a/tests/core/test_availability.py
+++ b/tests/core/test_availability.py
@@ -125,8 +125,8 @@
 def test_leaving_replica_gets_requests_until_its_drain_time_is_over(
     replica: availability.Availability,
 ) -> None:
-    assert replica.note_leaving(2_000.0, 100.0)
-    assert not replica.note_leaving(2_000.0, 1_500.0)
+    assert replica.record_leaving(2_000.0, 100.0)
+    assert not replica.record_leaving(2_000.0, 1_500.0)
     last_ms = 2_100.0 - availability.LEAVING_MARGIN_MS
     assert replica.opens(last_ms - 1.0)
     assert not replica.opens(last_ms)
--- a/tests/core/test_replica_restarts.py
+++ b/tests/core/test_replica_restarts.py
@@ -143,7 +143,7 @@
 ) -> None:
     view = table.get("i-1")
     assert view is not None
-    view.availability.note_leaving(2_000.0, 500.0)
+    view.availability.record_leaving(2_000.0, 500.0)
     view.availability.record_pause(60_000.0, 0.0, 500.0)
     replica = make_replica(weights=1, born_ms=EARLIER_MS)
     back = away_and_back(table, known, replica)
@@ -160,7 +160,7 @@
 ) -> None:
     view = table.get("i-1")
     assert view is not None
-    view.availability.note_leaving(2_000.0, 500.0)
+    view.availability.record_leaving(2_000.0, 500.0)
     replica = make_replica(weights=1, born_ms=born_ms)
     back = away_and_back(table, known, replica)
     assert not back.availability.is_leaving
@@ -172,7 +172,7 @@
     earlier = table.get("i-1")
     assert earlier is not None
     table.report(report(LATER_MS, 1), 1_000.0)
-    earlier.availability.note_leaving(2_000.0, 1_100.0)
+    earlier.availability.record_leaving(2_000.0, 1_100.0)
     earlier.availability.record_pause(3_000.0, 0.0, 1_100.0)
     later = table.get("i-1")
     assert later is not None
