--- a/src/marlramp/core/availability.py
+++ b/src/marlramp/core/availability.py
@@ -174,7 +174,7 @@
         until_ms = now_ms + wait_ms
         self._backoff_until_ms = max(self._backoff_until_ms, until_ms)
 
-    def note_sent(self, now_ms: clock.Millis) -> None:
+    def record_sent(self, now_ms: clock.Millis) -> None:
         """Records a request sent to the replica; it is the trial if one is due.
 
         Args:
--- a/src/marlramp/core/replica_view.py
+++ b/src/marlramp/core/replica_view.py
@@ -295,7 +295,7 @@
         else:
             self.unread += prompt_tokens
         self.breaker.record_start(now_ms)
-        self.availability.note_sent(now_ms)
+        self.availability.record_sent(now_ms)
         self.on_load_change(self.replica.replica_id)
 
     def note_read(
--- a/tests/core/test_availability.py
+++ b/tests/core/test_availability.py
@@ -57,7 +57,7 @@
     replica.record_pause(1_000.0, 0.0, 10.0)
     replica.record_refusal(0.0, 10.0)
     assert replica.opens(1_010.0)
-    replica.note_sent(1_010.0)
+    replica.record_sent(1_010.0)
     assert not replica.opens(1_020.0)
     replica.record_served(1_010.0, 1_030.0)
     assert replica.opens(1_030.0)
@@ -67,7 +67,7 @@
     replica: availability.Availability,
 ) -> None:
     replica.record_refusal(0.0, 0.0)
-    replica.note_sent(200.0)
+    replica.record_sent(200.0)
     assert not replica.opens(200.0 + availability.TRIAL_MS - 1.0)
     assert replica.opens(200.0 + availability.TRIAL_MS)
 
@@ -108,7 +108,7 @@
     replica: availability.Availability,
 ) -> None:
     replica.record_refusal(10.0, 20.0)
-    replica.note_sent(200.0)
+    replica.record_sent(200.0)
     replica.record_served(15.0, 210.0)
     assert not replica.opens(220.0)
 
