--- a/src/marlramp/core/availability.py
+++ b/src/marlramp/core/availability.py
@@ -193,7 +193,7 @@
         """Whether the replica has announced that it leaves."""
         return self.leaving_since_ms is not None
 
-    def takes(self, now_ms: clock.Millis) -> bool:
+    def is_open(self, now_ms: clock.Millis) -> bool:
         """Returns whether the replica is neither paused nor gone.
 
         This entry's own backoff is not considered.
@@ -206,7 +206,7 @@
         After a refusal, one trial request at a time may be sent until the
         replica serves one.
         """
-        if not self.takes(now_ms) or self.backoff_ms(now_ms) > 0.0:
+        if not self.is_open(now_ms) or self.backoff_ms(now_ms) > 0.0:
             return False
         return self.refusals == 0 or not self.in_trial(now_ms)
 
@@ -216,7 +216,7 @@
 
     def is_backing_off(self, now_ms: clock.Millis) -> bool:
         """Returns whether only this entry's backoff restricts the replica."""
-        return self.refusals > 0 and self.takes(now_ms)
+        return self.refusals > 0 and self.is_open(now_ms)
 
     def closed_ms(self, now_ms: clock.Millis) -> float:
         """Returns how long the replica stays closed by its own announcement.
--- a/src/marlramp/core/replica_view.py
+++ b/src/marlramp/core/replica_view.py
@@ -223,7 +223,7 @@
     def takes(self, now_ms: clock.Millis) -> bool:
         """Returns whether a request that was meant for it may be written."""
         healthy = self.replica.state is fleet.ReplicaState.HEALTHY
-        return healthy and self.availability.takes(now_ms)
+        return healthy and self.availability.is_open(now_ms)
 
     def limit_wait_ms(self, now_ms: clock.Millis) -> float:
         """Returns how long its limit is expected to hold a request back."""
