--- a/src/marlramp/core/availability.py
+++ b/src/marlramp/core/availability.py
@@ -200,7 +200,7 @@
         """
         return self.closed_ms(now_ms) <= 0.0
 
-    def opens(self, now_ms: clock.Millis) -> bool:
+    def may_send(self, now_ms: clock.Millis) -> bool:
         """Returns whether a request may be sent to the replica.
 
         After a refusal, one trial request at a time may be sent until the
--- a/src/marlramp/core/replica_view.py
+++ b/src/marlramp/core/replica_view.py
@@ -213,7 +213,9 @@
 
     def opens(self, now_ms: clock.Millis) -> bool:
         """Returns whether it takes new requests as far as is known."""
-        return self.availability.opens(now_ms) and self.is_reported_open(now_ms)
+        return self.availability.may_send(now_ms) and self.is_reported_open(
+            now_ms
+        )
 
     def is_reported_open(self, now_ms: clock.Millis) -> bool:
         """Returns whether the agent beside it does not say otherwise."""
--- a/tests/core/test_availability.py
+++ b/tests/core/test_availability.py
@@ -15,9 +15,9 @@
     assert (
         replica.record_pause(3_000.0, 0.0, 100.0) is availability.Change.ASKED
     )
-    assert not replica.opens(100.0)
-    assert not replica.opens(3_099.0)
-    assert replica.opens(3_100.0)
+    assert not replica.may_send(100.0)
+    assert not replica.may_send(3_099.0)
+    assert replica.may_send(3_100.0)
 
 
 @pytest.mark.parametrize("waits_ms", [(3_000.0, 1_000.0), (1_000.0, 2_990.0)])
@@ -27,8 +27,8 @@
     first_ms, second_ms = waits_ms
     replica.record_pause(first_ms, 0.0, 0.0)
     replica.record_pause(second_ms, 0.0, 10.0)
-    assert not replica.opens(2_999.0)
-    assert replica.opens(3_000.0)
+    assert not replica.may_send(2_999.0)
+    assert replica.may_send(3_000.0)
 
 
 def test_served_request_does_not_end_a_pause(
@@ -37,7 +37,7 @@
     replica.record_pause(3_000.0, 0.0, 100.0)
     replica.record_served(50.0, 110.0)
     replica.record_served(120.0, 130.0)
-    assert not replica.opens(2_000.0)
+    assert not replica.may_send(2_000.0)
 
 
 def test_entries_return_from_one_pause_at_different_times() -> None:
@@ -56,11 +56,11 @@
 ) -> None:
     replica.record_pause(1_000.0, 0.0, 10.0)
     replica.record_refusal(0.0, 10.0)
-    assert replica.opens(1_010.0)
+    assert replica.may_send(1_010.0)
     replica.record_sent(1_010.0)
-    assert not replica.opens(1_020.0)
+    assert not replica.may_send(1_020.0)
     replica.record_served(1_010.0, 1_030.0)
-    assert replica.opens(1_030.0)
+    assert replica.may_send(1_030.0)
 
 
 def test_trial_without_an_answer_lets_the_next_one_through(
@@ -68,8 +68,8 @@
 ) -> None:
     replica.record_refusal(0.0, 0.0)
     replica.record_sent(200.0)
-    assert not replica.opens(200.0 + availability.TRIAL_MS - 1.0)
-    assert replica.opens(200.0 + availability.TRIAL_MS)
+    assert not replica.may_send(200.0 + availability.TRIAL_MS - 1.0)
+    assert replica.may_send(200.0 + availability.TRIAL_MS)
 
 
 def test_consecutive_refusals_double_the_backoff_up_to_a_bound(
@@ -92,7 +92,7 @@
 ) -> None:
     for answered_ms in (10.0, 11.0, 12.0, 13.0):
         replica.record_refusal(5.0, answered_ms)
-    assert replica.opens(10.0 + availability.BACKOFF_MIN_MS)
+    assert replica.may_send(10.0 + availability.BACKOFF_MIN_MS)
 
 
 def test_refusal_of_a_queued_request_does_not_double_the_backoff(
@@ -101,7 +101,7 @@
     for number in range(5):
         replica.record_refusal(0.0, 1_000.0 + number)
     assert replica.refusal_share(1_010.0) == 0.0
-    assert replica.opens(1_010.0 + availability.BACKOFF_MIN_MS)
+    assert replica.may_send(1_010.0 + availability.BACKOFF_MIN_MS)
 
 
 def test_answer_to_a_request_sent_before_a_refusal_is_no_recovery(
@@ -110,7 +110,7 @@
     replica.record_refusal(10.0, 20.0)
     replica.record_sent(200.0)
     replica.record_served(15.0, 210.0)
-    assert not replica.opens(220.0)
+    assert not replica.may_send(220.0)
 
 
 def test_share_of_refusals_decays_with_time(
@@ -128,6 +128,6 @@
     assert replica.record_leaving(2_000.0, 100.0)
     assert not replica.record_leaving(2_000.0, 1_500.0)
     last_ms = 2_100.0 - availability.LEAVING_MARGIN_MS
-    assert replica.opens(last_ms - 1.0)
-    assert not replica.opens(last_ms)
+    assert replica.may_send(last_ms - 1.0)
+    assert not replica.may_send(last_ms)
     assert replica.closed_ms(last_ms) == float("inf")
--- a/tests/direct/calls/test_forwarder.py
+++ b/tests/direct/calls/test_forwarder.py
@@ -435,7 +435,7 @@
         await asyncio.sleep(0.6)
         view = entry.table.get("i-0")
         assert view is not None
-        assert view.availability.opens(entry.time.now_ms())
+        assert view.availability.may_send(entry.time.now_ms())
 
     run_entry(use, pausing.serve, sound.serve)
 
