--- a/src/marlramp/core/availability.py
+++ b/src/marlramp/core/availability.py
@@ -54,12 +54,12 @@
 
     Attributes:
       NONE: the pause is unchanged.
-      ASKED: the replica asked for a pause and was not paused before.
+      PAUSED: the replica asked for a pause and was not paused before.
       EXTENDED: the replica extended its pause.
     """
 
     NONE = "none"
-    ASKED = "asked"
+    PAUSED = "asked"
     EXTENDED = "extended"
 
 
@@ -112,7 +112,7 @@
             return Change.NONE
         change = Change.EXTENDED
         if not self.is_paused(now_ms):
-            change = Change.ASKED
+            change = Change.PAUSED
             self.paused_since_ms = now_ms
         self.paused_until_ms = until_ms
         return change
--- a/tests/core/test_availability.py
+++ b/tests/core/test_availability.py
@@ -13,7 +13,7 @@
 
 def test_pause_lasts_to_its_end(replica: availability.Availability) -> None:
     assert (
-        replica.record_pause(3_000.0, 0.0, 100.0) is availability.Change.ASKED
+        replica.record_pause(3_000.0, 0.0, 100.0) is availability.Change.PAUSED
     )
     assert not replica.may_send(100.0)
     assert not replica.may_send(3_099.0)
