--- a/src/marlramp/core/send_limit.py
+++ b/src/marlramp/core/send_limit.py
@@ -37,7 +37,7 @@
         ahead_ms = self.pending * _MS / rate
         return max(0.0, self.next_ms - now_ms, self.ask_ms - now_ms) + ahead_ms
 
-    def opens(self, now_ms: clock.Millis, wait_max_ms: float) -> bool:
+    def may_reserve(self, now_ms: clock.Millis, wait_max_ms: float) -> bool:
         """Returns whether a reservation in time is likely.
 
         Args:
--- a/src/marlramp/core/upstream_choice.py
+++ b/src/marlramp/core/upstream_choice.py
@@ -275,7 +275,7 @@
     if view.limit is None:
         return True
     wait_max_ms = limit_wait_max_ms(view, wanted, now_ms)
-    return view.limit.opens(now_ms, wait_max_ms)
+    return view.limit.may_reserve(now_ms, wait_max_ms)
 
 
 def opens_in_ms(
--- a/tests/core/test_send_meter.py
+++ b/tests/core/test_send_meter.py
@@ -109,9 +109,9 @@
 
 def test_pending_reservations_add_to_the_expected_wait() -> None:
     limit = send_limit.SendLimit(per_s=2.0, next_ms=100.0)
-    assert limit.opens(at(0), 100.0)
+    assert limit.may_reserve(at(0), 100.0)
     limit.pending = 1
-    assert not limit.opens(at(0), 500.0)
-    assert limit.opens(at(0), 600.0)
+    assert not limit.may_reserve(at(0), 500.0)
+    assert limit.may_reserve(at(0), 600.0)
     limit.ask_ms = 50.0
-    assert not limit.opens(at(0), 1_000.0)
+    assert not limit.may_reserve(at(0), 1_000.0)
