--- a/src/marlramp/core/send_limit.py
+++ b/src/marlramp/core/send_limit.py
@@ -22,20 +22,23 @@
         together.
       next_ms: when the next request may be sent, as last reported by the
         limiter.
-      ask_ms: time before which this entry requests no reservation.
+      reserve_from_ms: time before which this entry requests no reservation.
       pending: this entry's requests that wait for the limiter's reply.
     """
 
     per_s: float
     next_ms: float = float("-inf")
-    ask_ms: float = float("-inf")
+    reserve_from_ms: float = float("-inf")
     pending: int = 0
 
     def wait_ms(self, now_ms: clock.Millis) -> float:
         """Returns the expected wait of a request before it may be sent."""
         rate = max(send_meter.TRIAL_PER_S, self.per_s)
         ahead_ms = self.pending * _MS / rate
-        return max(0.0, self.next_ms - now_ms, self.ask_ms - now_ms) + ahead_ms
+        return (
+            max(0.0, self.next_ms - now_ms, self.reserve_from_ms - now_ms)
+            + ahead_ms
+        )
 
     def may_reserve(self, now_ms: clock.Millis, wait_max_ms: float) -> bool:
         """Returns whether a reservation in time is likely.
@@ -44,7 +47,7 @@
           now_ms: the time.
           wait_max_ms: longest time that the request can wait.
         """
-        if now_ms < self.ask_ms:
+        if now_ms < self.reserve_from_ms:
             return False
         return self.wait_ms(now_ms) <= wait_max_ms
 
--- a/src/marlramp/direct/fleet/send_meters.py
+++ b/src/marlramp/direct/fleet/send_meters.py
@@ -109,12 +109,12 @@
             limit.pending -= 1
         now_ms = self._clock.now_ms()
         if reply is None:
-            limit.ask_ms = now_ms + NO_METER_PAUSE_MS
+            limit.reserve_from_ms = now_ms + NO_METER_PAUSE_MS
             self._count("no_meter")
             return None
         limit.next_ms = now_ms + reply.next_ms
         if reply.wait_ms is None:
-            limit.ask_ms = now_ms + max(PAUSE_MIN_MS, reply.pause_ms)
+            limit.reserve_from_ms = now_ms + max(PAUSE_MIN_MS, reply.pause_ms)
             self._count("denied")
         else:
             self._count("reserved")
--- a/tests/core/test_send_meter.py
+++ b/tests/core/test_send_meter.py
@@ -113,5 +113,5 @@
     limit.pending = 1
     assert not limit.may_reserve(at(0), 500.0)
     assert limit.may_reserve(at(0), 600.0)
-    limit.ask_ms = 50.0
+    limit.reserve_from_ms = 50.0
     assert not limit.may_reserve(at(0), 1_000.0)
--- a/tests/direct/fleet/limited_fleet.py
+++ b/tests/direct/fleet/limited_fleet.py
@@ -183,7 +183,7 @@
         if self.way is Way.SHARES:
             per_s /= len(self.running())
         elif entry.limits.meters_of(view)[0] != entry.name:
-            limit.ask_ms = now_ms + 100.0
+            limit.reserve_from_ms = now_ms + 100.0
             return None
         key = (entry.name, view.replica.replica_id)
         if key not in self._shares:
@@ -192,7 +192,7 @@
         wait_ms = meter.reserve(now_ms, per_s, wait_max_ms)
         limit.next_ms = now_ms + meter.next_in_ms(now_ms, per_s)
         if wait_ms is None:
-            limit.ask_ms = now_ms + 20.0
+            limit.reserve_from_ms = now_ms + 20.0
         return wait_ms
 
     async def _send(
