--- a/src/marlramp/core/replica_limits.py
+++ b/src/marlramp/core/replica_limits.py
@@ -57,7 +57,7 @@
     ENDED = "ended"
 
 
-class LimitNews(msgspec.Struct, frozen=True, array_like=True):
+class LimitUpdate(msgspec.Struct, frozen=True, array_like=True):
     """A replica's limit, as entries send it to one another.
 
     Attributes:
@@ -152,7 +152,7 @@
             return Change.NONE
         return self._apply(replica_id, KnownLimit(born_ms, None, sent_ms, None))
 
-    def merge(self, update: LimitNews, now_ms: clock.Millis) -> Change:
+    def merge(self, update: LimitUpdate, now_ms: clock.Millis) -> Change:
         """Merges an update that another entry sent.
 
         Args:
@@ -205,7 +205,7 @@
 
     def told(
         self, replica_ids: Iterable[str], now_ms: clock.Millis
-    ) -> list[LimitNews]:
+    ) -> list[LimitUpdate]:
         """Returns updates with the known limits of some replicas.
 
         Args:
@@ -214,7 +214,7 @@
         """
         found = ((r, self._known.get(r)) for r in replica_ids)
         return [
-            LimitNews(r, known.born_ms, known.per_s, now_ms - known.at_ms)
+            LimitUpdate(r, known.born_ms, known.per_s, now_ms - known.at_ms)
             for r, known in found
             if known is not None
         ]
--- a/src/marlramp/direct/fleet/limit_sync.py
+++ b/src/marlramp/direct/fleet/limit_sync.py
@@ -112,7 +112,7 @@
     # What other entries say.
 
     def on_news(
-        self, name: str, limits: Iterable[replica_limits.LimitNews]
+        self, name: str, limits: Iterable[replica_limits.LimitUpdate]
     ) -> None:
         """Takes limits that another entry knows."""
         now_ms = self._clock.now_ms()
--- a/src/marlramp/direct/fleet/send_meters.py
+++ b/src/marlramp/direct/fleet/send_meters.py
@@ -241,7 +241,7 @@
         )
 
     def _tell_others(
-        self, replica_id: str, limit: replica_limits.LimitNews | None
+        self, replica_id: str, limit: replica_limits.LimitUpdate | None
     ) -> None:
         view = self._table.get(replica_id)
         if view is None or limit is None:
@@ -302,7 +302,7 @@
         return meter
 
     def _take_limit(
-        self, name: str, limit: replica_limits.LimitNews | None
+        self, name: str, limit: replica_limits.LimitUpdate | None
     ) -> None:
         if limit is not None:
             self._known.on_news(name, [limit])
--- a/src/marlramp/protocol/fleet_messages.py
+++ b/src/marlramp/protocol/fleet_messages.py
@@ -135,7 +135,7 @@
 class LimitNews(_Message):
     """Limits that replicas name, or name no more."""
 
-    limits: list[replica_limits.LimitNews]
+    limits: list[replica_limits.LimitUpdate]
 
 
 class LimitRequest(_Message):
@@ -158,7 +158,7 @@
     """
 
     number: int
-    limit: replica_limits.LimitNews
+    limit: replica_limits.LimitUpdate
     wait_max_ms: float
 
 
@@ -178,13 +178,13 @@
     wait_ms: float | None
     next_ms: float
     pause_ms: float
-    limit: replica_limits.LimitNews | None
+    limit: replica_limits.LimitUpdate | None
 
 
 class SendReserved(_Message):
     """Tells another entry that reserves for a replica of a request."""
 
-    limit: replica_limits.LimitNews
+    limit: replica_limits.LimitUpdate
 
 
 class StoreBeacon(_Message):
--- a/tests/core/test_replica_limits.py
+++ b/tests/core/test_replica_limits.py
@@ -18,8 +18,8 @@
 
 def update(
     per_s: float | None, age_ms: float = 0.0, born_ms: int | None = 1
-) -> replica_limits.LimitNews:
-    return replica_limits.LimitNews(REPLICA, born_ms, per_s, age_ms)
+) -> replica_limits.LimitUpdate:
+    return replica_limits.LimitUpdate(REPLICA, born_ms, per_s, age_ms)
 
 
 def test_limit_is_named_changed_and_ended() -> None:
