--- a/src/marlramp/core/replica_limits.py
+++ b/src/marlramp/core/replica_limits.py
@@ -121,7 +121,7 @@
 
     # Updates from answers and from other entries.
 
-    def note_named(
+    def record_limit(
         self,
         replica_id: str,
         born_ms: int | None,
--- a/src/marlramp/direct/fleet/limit_sync.py
+++ b/src/marlramp/direct/fleet/limit_sync.py
@@ -88,7 +88,7 @@
         if answer.limit_unreadable:
             self._note_unreadable(replica_id, answer.limit_unreadable)
         if answer.limit_per_s is not None:
-            change = self.limits.note_named(
+            change = self.limits.record_limit(
                 replica_id,
                 view.born_ms,
                 answer.limit_per_s,
--- a/tests/core/test_replica_limits.py
+++ b/tests/core/test_replica_limits.py
@@ -25,26 +25,26 @@
 def test_limit_is_named_changed_and_ended() -> None:
     limits = replica_limits.ReplicaLimits()
     change = replica_limits.Change
-    assert limits.note_named(REPLICA, 1, 2.0, at(100)) is change.NAMED
-    assert limits.note_named(REPLICA, 1, 2.1, at(200)) is change.NONE
+    assert limits.record_limit(REPLICA, 1, 2.0, at(100)) is change.NAMED
+    assert limits.record_limit(REPLICA, 1, 2.1, at(200)) is change.NONE
     assert limits.per_s(REPLICA) == 2.1
-    assert limits.note_named(REPLICA, 1, 4.0, at(300)) is change.CHANGED
+    assert limits.record_limit(REPLICA, 1, 4.0, at(300)) is change.CHANGED
     assert limits.note_unnamed(REPLICA, 1, at(400)) is change.ENDED
     assert limits.in_force() == {}
 
 
 def test_answer_to_a_request_sent_before_does_not_end_a_limit() -> None:
     limits = replica_limits.ReplicaLimits()
-    limits.note_named(REPLICA, 1, 2.0, at(100))
+    limits.record_limit(REPLICA, 1, 2.0, at(100))
     limits.note_unnamed(REPLICA, 1, at(99))
     assert limits.per_s(REPLICA) == 2.0
 
 
 def test_small_changes_are_announced_once_they_add_up() -> None:
     limits = replica_limits.ReplicaLimits()
-    limits.note_named(REPLICA, 1, 2.0, at(0))
+    limits.record_limit(REPLICA, 1, 2.0, at(0))
     changes = [
-        limits.note_named(REPLICA, 1, 2.0 + 0.09 * n, at(n))
+        limits.record_limit(REPLICA, 1, 2.0 + 0.09 * n, at(n))
         for n in range(1, 4)
     ]
     assert changes[:2] == [replica_limits.Change.NONE] * 2
@@ -53,7 +53,7 @@
 
 def test_update_older_than_the_known_limit_is_ignored() -> None:
     limits = replica_limits.ReplicaLimits()
-    limits.note_named(REPLICA, 1, 2.0, at(1_000))
+    limits.record_limit(REPLICA, 1, 2.0, at(1_000))
     assert (
         limits.merge(update(5.0, age_ms=900), at(1_100))
         is replica_limits.Change.NONE
@@ -65,7 +65,7 @@
 
 def test_limit_from_before_a_restart_is_not_restored() -> None:
     limits = replica_limits.ReplicaLimits()
-    limits.note_named(REPLICA, 2, 1.0, at(100))
+    limits.record_limit(REPLICA, 2, 1.0, at(100))
     limits.merge(update(9.0, born_ms=1), at(500))
     assert limits.per_s(REPLICA) == 1.0
     limits.merge(update(3.0, age_ms=450.0, born_ms=3), at(500))
@@ -85,8 +85,8 @@
     one = replica_limits.ReplicaLimits()
     other = replica_limits.ReplicaLimits()
     for number in range(20):
-        one.note_named(f"i-{number}", 1, 1.0, at(number))
-        other.note_named(f"i-{number}", None, 1.05, at(500))
+        one.record_limit(f"i-{number}", 1, 1.0, at(number))
+        other.record_limit(f"i-{number}", None, 1.05, at(500))
     assert one.digest() == other.digest()
     other.note_unnamed("i-7", 1, at(900))
     assert one.digest() != other.digest()
@@ -105,7 +105,7 @@
     monkeypatch.setattr(replica_limits, "LIMITS_MAX", 10)
     limits = replica_limits.ReplicaLimits()
     for number in range(10 + excess):
-        limits.note_named(f"i-{number}", 1, 1.0, at(number))
+        limits.record_limit(f"i-{number}", 1, 1.0, at(number))
     limits.tick(at(100))
     assert len(limits.in_force()) == 10
     assert "i-14" in limits.in_force() or not excess
