--- a/src/marlramp/core/replica_limits.py
+++ b/src/marlramp/core/replica_limits.py
@@ -138,7 +138,7 @@
         """
         return self._apply(replica_id, KnownLimit(born_ms, per_s, now_ms, None))
 
-    def note_unnamed(
+    def record_no_limit(
         self, replica_id: str, born_ms: int | None, sent_ms: clock.Millis
     ) -> Change:
         """Records an answer to this entry that names no limit.
--- a/src/marlramp/direct/fleet/limit_sync.py
+++ b/src/marlramp/direct/fleet/limit_sync.py
@@ -95,7 +95,9 @@
                 self._clock.now_ms(),
             )
         elif answer.signed and not answer.limit_unreadable:
-            change = self.limits.note_unnamed(replica_id, view.born_ms, sent_ms)
+            change = self.limits.record_no_limit(
+                replica_id, view.born_ms, sent_ms
+            )
         else:
             return
         self._note_change(replica_id, change, "answer")
--- a/tests/core/test_replica_limits.py
+++ b/tests/core/test_replica_limits.py
@@ -29,14 +29,14 @@
     assert limits.record_limit(REPLICA, 1, 2.1, at(200)) is change.NONE
     assert limits.per_s(REPLICA) == 2.1
     assert limits.record_limit(REPLICA, 1, 4.0, at(300)) is change.CHANGED
-    assert limits.note_unnamed(REPLICA, 1, at(400)) is change.ENDED
+    assert limits.record_no_limit(REPLICA, 1, at(400)) is change.ENDED
     assert limits.in_force() == {}
 
 
 def test_answer_to_a_request_sent_before_does_not_end_a_limit() -> None:
     limits = replica_limits.ReplicaLimits()
     limits.record_limit(REPLICA, 1, 2.0, at(100))
-    limits.note_unnamed(REPLICA, 1, at(99))
+    limits.record_no_limit(REPLICA, 1, at(99))
     assert limits.per_s(REPLICA) == 2.0
 
 
@@ -58,7 +58,7 @@
         limits.merge(update(5.0, age_ms=900), at(1_100))
         is replica_limits.Change.NONE
     )
-    limits.note_unnamed(REPLICA, 1, at(1_200))
+    limits.record_no_limit(REPLICA, 1, at(1_200))
     limits.merge(update(5.0, age_ms=500), at(1_300))
     assert limits.per_s(REPLICA) is None
 
@@ -88,7 +88,7 @@
         one.record_limit(f"i-{number}", 1, 1.0, at(number))
         other.record_limit(f"i-{number}", None, 1.05, at(500))
     assert one.digest() == other.digest()
-    other.note_unnamed("i-7", 1, at(900))
+    other.record_no_limit("i-7", 1, at(900))
     assert one.digest() != other.digest()
     assert "i-7" in one.differing(other.digests())
     assert "i-7" in other.differing(one.digests())
