--- a/src/marlramp/core/replica_limits.py
+++ b/src/marlramp/core/replica_limits.py
@@ -203,7 +203,7 @@
 
     # Exchange with other entries.
 
-    def told(
+    def updates_of(
         self, replica_ids: Iterable[str], now_ms: clock.Millis
     ) -> list[LimitUpdate]:
         """Returns updates with the known limits of some replicas.
--- a/src/marlramp/direct/fleet/limit_sync.py
+++ b/src/marlramp/direct/fleet/limit_sync.py
@@ -136,7 +136,7 @@
     ) -> None:
         """Tells an entry of limits that it may not know."""
         replica_ids = self.limits.differing(request.digests)
-        limits = self.limits.told(replica_ids, self._clock.now_ms())
+        limits = self.limits.updates_of(replica_ids, self._clock.now_ms())
         if limits:
             self._sync.send(name, fleet_messages.LimitNews(limits=limits))
 
@@ -157,7 +157,7 @@
         self.limits.tick(now_ms)
         for replica_id in self.limits.in_force():
             self._show(replica_id)
-        told = self.limits.told(self._rumours.take(now_ms), now_ms)
+        told = self.limits.updates_of(self._rumours.take(now_ms), now_ms)
         if told:
             self._sync.send_some(fleet_messages.LimitNews(limits=told))
 
@@ -165,7 +165,7 @@
         alive = self._sync.alive(members.MemberKind.ENTRY)
         count = min(FIRST_TARGETS, len(alive))
         targets = self._rng.sample([entry.vm_id for entry in alive], count)
-        limits = self.limits.told([replica_id], self._clock.now_ms())
+        limits = self.limits.updates_of([replica_id], self._clock.now_ms())
         self._sync.send_all(targets, fleet_messages.LimitNews(limits=limits))
 
     def _note_change(
--- a/src/marlramp/direct/fleet/send_meters.py
+++ b/src/marlramp/direct/fleet/send_meters.py
@@ -142,7 +142,7 @@
         self, view: replica_view.ReplicaView, wait_max_ms: float
     ) -> fleet_messages.SendRequest | None:
         now_ms = self._clock.now_ms()
-        told = self._known.limits.told([view.replica.replica_id], now_ms)
+        told = self._known.limits.updates_of([view.replica.replica_id], now_ms)
         if not told:
             return None
         return fleet_messages.SendRequest(
@@ -217,7 +217,7 @@
     ) -> fleet_messages.SendReply:
         replica_id = request.limit.replica_id
         now_ms = self._clock.now_ms()
-        told = self._known.limits.told([replica_id], now_ms)
+        told = self._known.limits.updates_of([replica_id], now_ms)
         limit = told[0] if told else None
         rate = self._rate(replica_id)
         if rate is None:
