--- a/src/marlramp/direct/calls/call.py
+++ b/src/marlramp/direct/calls/call.py
@@ -6,7 +6,7 @@
 
 from marlramp import clock
 from marlramp import ids
-from marlramp.core import caller_patience
+from marlramp.core import caller_timeout
 from marlramp.core import fleet
 from marlramp.core import request_fingerprint
 from marlramp.core import send_limit
@@ -107,7 +107,7 @@
         left_ms = self.left_ms(now_ms)
         if not self.route.streaming:
             return left_ms
-        gap_max_ms = caller_patience.gap_max_ms(self.route)
+        gap_max_ms = caller_timeout.gap_max_ms(self.route)
         return min(left_ms, gap_max_ms - self._gap_ms(now_ms))
 
     def limit_wait_max_ms(self, now_ms: clock.Millis) -> float:
@@ -125,7 +125,7 @@
 
     def may_have_left(self, now_ms: clock.Millis) -> bool:
         """Returns whether the caller may be gone though no word of it came."""
-        return caller_patience.may_have_left(self.route, self._gap_ms(now_ms))
+        return caller_timeout.may_have_left(self.route, self._gap_ms(now_ms))
 
     def _gap_ms(self, now_ms: clock.Millis) -> float:
         """Returns the time since the caller sent or got anything."""
--- a/src/marlramp/direct/calls/sender.py
+++ b/src/marlramp/direct/calls/sender.py
@@ -13,7 +13,7 @@
 from marlramp import ids
 from marlramp import logs
 from marlramp.core import attempt_limits
-from marlramp.core import caller_patience
+from marlramp.core import caller_timeout
 from marlramp.core import fleet
 from marlramp.core import queue_place
 from marlramp.core import upstream_choice
@@ -322,7 +322,7 @@
         """Returns until when the attempt is waited for."""
         route = call.route
         sends_left = call.runs + 1 <= route.attempts_max - 1
-        gap_max_ms = caller_patience.gap_max_ms(route)
+        gap_max_ms = caller_timeout.gap_max_ms(route)
         waiting = attempt_limits.Waiting(
             streaming=route.streaming,
             begun=attempt.begun,
--- a/tests/core/test_caller_patience.py
+++ b/tests/core/test_caller_timeout.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from marlramp.core import caller_patience
+from marlramp.core import caller_timeout
 from marlramp.core import fleet
 
 MakeRoute: TypeAlias = Callable[..., fleet.Route]
@@ -23,10 +23,10 @@
         objective_ms=objective_ms,
         pause_objective_ms=pause_ms,
     )
-    assert caller_patience.gap_max_ms(route) == gap_ms
-    assert caller_patience.may_have_left(route, gap_ms - 100.0)
-    assert not caller_patience.may_have_left(route, gap_ms / 2)
+    assert caller_timeout.gap_max_ms(route) == gap_ms
+    assert caller_timeout.may_have_left(route, gap_ms - 100.0)
+    assert not caller_timeout.may_have_left(route, gap_ms / 2)
 
 
 def test_callers_of_plain_requests_stay(make_route: MakeRoute) -> None:
-    assert not caller_patience.may_have_left(make_route(), 60_000.0)
+    assert not caller_timeout.may_have_left(make_route(), 60_000.0)
