--- a/src/marlramp/core/attempt_limits.py
+++ b/src/marlramp/core/attempt_limits.py
@@ -41,7 +41,7 @@
       ends_ms: when the timeout of the caller or of the route expires.
       progress_ms: when data last arrived, or else when the request was sent.
       heard_ms: when the replica last answered any request.
-      gap_max_ms: longest time that the caller waits without an event.
+      gap_timeout_ms: stream gap timeout of the caller, 0 if not streaming.
       predicted_ms: predicted time to the first event.
       begins_until_ms: when the answer must have begun, infinite if no other
         version becomes mandatory.
@@ -54,7 +54,7 @@
     ends_ms: float
     progress_ms: float
     heard_ms: float
-    gap_max_ms: float
+    gap_timeout_ms: float
     predicted_ms: float
     begins_until_ms: float
 
@@ -81,7 +81,7 @@
     if waiting.begun:
         return STALL_FLOOR_MS
     longest_ms = max(
-        FIRST_EVENT_SHARE * waiting.gap_max_ms,
+        FIRST_EVENT_SHARE * waiting.gap_timeout_ms,
         FIRST_EVENT_FACTOR * waiting.predicted_ms,
     )
     heard_after_ms = max(0.0, waiting.heard_ms - waiting.progress_ms)
--- a/src/marlramp/core/caller_timeout.py
+++ b/src/marlramp/core/caller_timeout.py
@@ -20,7 +20,7 @@
 """
 
 
-def gap_max_ms(route: fleet.Route) -> float:
+def gap_timeout_ms(route: fleet.Route) -> float:
     """Returns the gap, in milliseconds, after which a stream's caller leaves.
 
     Args:
@@ -40,4 +40,6 @@
       route: the route of the caller's request.
       gap_ms: time since the request or the last event sent to the caller.
     """
-    return route.streaming and gap_ms > gap_max_ms(route) - LEAVING_MARGIN_MS
+    return (
+        route.streaming and gap_ms > gap_timeout_ms(route) - LEAVING_MARGIN_MS
+    )
--- a/src/marlramp/direct/calls/call.py
+++ b/src/marlramp/direct/calls/call.py
@@ -107,8 +107,8 @@
         left_ms = self.left_ms(now_ms)
         if not self.route.streaming:
             return left_ms
-        gap_max_ms = caller_timeout.gap_max_ms(self.route)
-        return min(left_ms, gap_max_ms - self._gap_ms(now_ms))
+        gap_timeout_ms = caller_timeout.gap_timeout_ms(self.route)
+        return min(left_ms, gap_timeout_ms - self._gap_ms(now_ms))
 
     def limit_wait_max_ms(self, now_ms: clock.Millis) -> float:
         """Returns how long the answer may wait for the limits of replicas."""
--- a/src/marlramp/direct/calls/sender.py
+++ b/src/marlramp/direct/calls/sender.py
@@ -322,7 +322,7 @@
         """Returns until when the attempt is waited for."""
         route = call.route
         sends_left = call.runs + 1 <= route.attempts_max - 1
-        gap_max_ms = caller_timeout.gap_max_ms(route)
+        gap_timeout_ms = caller_timeout.gap_timeout_ms(route)
         waiting = attempt_limits.Waiting(
             streaming=route.streaming,
             begun=attempt.begun,
@@ -331,7 +331,7 @@
             ends_ms=call.ends_ms,
             progress_ms=attempt.progress_ms,
             heard_ms=choice.view.heard_ms,
-            gap_max_ms=gap_max_ms if route.streaming else 0.0,
+            gap_timeout_ms=gap_timeout_ms if route.streaming else 0.0,
             predicted_ms=choice.predicted_ms,
             begins_until_ms=choice.taken_back_ms(self._clock.now_ms()),
         )
--- a/tests/core/test_attempt_limits.py
+++ b/tests/core/test_attempt_limits.py
@@ -13,7 +13,7 @@
     ends_ms=7_000.0,
     progress_ms=1_010.0,
     heard_ms=float("-inf"),
-    gap_max_ms=2_400.0,
+    gap_timeout_ms=2_400.0,
     predicted_ms=200.0,
     begins_until_ms=float("inf"),
 )
--- a/tests/core/test_caller_timeout.py
+++ b/tests/core/test_caller_timeout.py
@@ -23,7 +23,7 @@
         objective_ms=objective_ms,
         pause_objective_ms=pause_ms,
     )
-    assert caller_timeout.gap_max_ms(route) == gap_ms
+    assert caller_timeout.gap_timeout_ms(route) == gap_ms
     assert caller_timeout.may_have_left(route, gap_ms - 100.0)
     assert not caller_timeout.may_have_left(route, gap_ms / 2)
 
