--- a/src/marlramp/core/caller_waits.py
+++ b/src/marlramp/core/caller_wait_estimate.py
@@ -20,7 +20,7 @@
 estimate by less than a tenth, and the estimate recovers."""
 
 
-class CallerWaits:
+class CallerWaitEstimate:
     """Estimates the least time that a route's callers wait on a first attempt.
 
     Each request moves the estimate up by a small step or down by a large one,
--- a/src/marlramp/direct/calls/forwarder.py
+++ b/src/marlramp/direct/calls/forwarder.py
@@ -13,7 +13,7 @@
 from marlramp import errors
 from marlramp import ids
 from marlramp import logs
-from marlramp.core import caller_waits
+from marlramp.core import caller_wait_estimate
 from marlramp.core import catalog
 from marlramp.core import fleet
 from marlramp.core import replica_table
@@ -107,7 +107,9 @@
             time,
         )
         self._budgets: dict[ids.ServiceId, retry_share.RetryShare] = {}
-        self._waits: dict[tuple[str, float], caller_waits.CallerWaits] = {}
+        self._waits: dict[
+            tuple[str, float], caller_wait_estimate.CallerWaitEstimate
+        ] = {}
         self.active = 0
 
     async def handle(
@@ -194,10 +196,12 @@
             self._clock,
         )
 
-    def _waits_of(self, route: fleet.Route) -> caller_waits.CallerWaits:
+    def _waits_of(
+        self, route: fleet.Route
+    ) -> caller_wait_estimate.CallerWaitEstimate:
         key = (route.name, route.timeout_ms)
         return self._waits.setdefault(
-            key, caller_waits.CallerWaits(route.timeout_ms)
+            key, caller_wait_estimate.CallerWaitEstimate(route.timeout_ms)
         )
 
     def _budget(self, service_id: ids.ServiceId) -> retry_share.RetryShare:
--- a/src/marlramp/experiments/overload.py
+++ b/src/marlramp/experiments/overload.py
@@ -16,7 +16,7 @@
 from marlramp import errors
 from marlramp import ids
 from marlramp.core import admission
-from marlramp.core import caller_waits
+from marlramp.core import caller_wait_estimate
 from marlramp.core import catalog
 from marlramp.core import cells
 from marlramp.core import fleet
@@ -95,7 +95,7 @@
         self.table.sync(known, clock.Millis(now_ms))
         self.loads = peer_loads.PeerLoads(self.table)
         self.news = peer_loads.LoadNews(self.table)
-        self.waits = caller_waits.CallerWaits(TIMEOUT_MS)
+        self.waits = caller_wait_estimate.CallerWaitEstimate(TIMEOUT_MS)
         self.places = upstream_choice.Places({_data_centre(region)})
 
 
