--- a/src/marlramp/core/send_limit.py
+++ b/src/marlramp/core/send_limit.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from marlramp import clock
-from marlramp.core import send_meter
+from marlramp.core import send_limiter
 
 _MS = clock.MILLIS_PER_SECOND
 
@@ -33,7 +33,7 @@
 
     def wait_ms(self, now_ms: clock.Millis) -> float:
         """Returns the expected wait of a request before it may be sent."""
-        rate = max(send_meter.TRIAL_PER_S, self.per_s)
+        rate = max(send_limiter.TRIAL_PER_S, self.per_s)
         ahead_ms = self.pending * _MS / rate
         return (
             max(0.0, self.next_ms - now_ms, self.reserve_from_ms - now_ms)
--- a/src/marlramp/core/send_meter.py
+++ b/src/marlramp/core/send_limiter.py
@@ -41,7 +41,7 @@
     return max(TRIAL_PER_S, per_s * share)
 
 
-class SendMeter:
+class SendLimiter:
     """Reserves the times at which requests may be sent to one replica."""
 
     def __init__(self, now_ms: clock.Millis, per_s: float) -> None:
--- a/src/marlramp/direct/fleet/send_meters.py
+++ b/src/marlramp/direct/fleet/send_meters.py
@@ -17,7 +17,7 @@
 from marlramp.core import replica_limits
 from marlramp.core import replica_table
 from marlramp.core import replica_view
-from marlramp.core import send_meter
+from marlramp.core import send_limiter
 from marlramp.direct.fleet import limit_sync
 from marlramp.direct.fleet import member_sync
 from marlramp.protocol import fleet_messages
@@ -71,7 +71,7 @@
         self._regions = regions
         self._totals = totals
         self._clock = time
-        self._meters: dict[str, send_meter.SendMeter] = {}
+        self._meters: dict[str, send_limiter.SendLimiter] = {}
         self._duties: dict[str, list[str]] = {}
         self._seen_changes = -1
         self._alive = 1
@@ -292,12 +292,12 @@
         per_s = self._known.limits.per_s(replica_id)
         if per_s is None:
             return None
-        return send_meter.rate_here(per_s, self._alive, self._entries_known)
+        return send_limiter.rate_here(per_s, self._alive, self._entries_known)
 
-    def _meter(self, replica_id: str, rate: float) -> send_meter.SendMeter:
+    def _meter(self, replica_id: str, rate: float) -> send_limiter.SendLimiter:
         meter = self._meters.get(replica_id)
         if meter is None:
-            meter = send_meter.SendMeter(self._clock.now_ms(), rate)
+            meter = send_limiter.SendLimiter(self._clock.now_ms(), rate)
             self._meters[replica_id] = meter
         return meter
 
--- a/tests/core/test_send_meter.py
+++ b/tests/core/test_send_limiter.py
@@ -10,7 +10,7 @@
 from marlramp.core import members
 from marlramp.core import meter_duty
 from marlramp.core import send_limit
-from marlramp.core import send_meter
+from marlramp.core import send_limiter
 
 WINDOW_MS = 4_000.0
 EXCESS_SHARE = 1.5
@@ -29,32 +29,32 @@
 def test_no_window_holds_more_than_the_limit_and_a_short_burst(
     per_s: float, pauses_ms: list[float], wait_max_ms: float
 ) -> None:
-    meter = send_meter.SendMeter(at(0), per_s)
+    limiter = send_limiter.SendLimiter(at(0), per_s)
     now_ms = 0.0
     sent = []
     for pause_ms in pauses_ms:
         now_ms += pause_ms
-        wait_ms = meter.reserve(at(now_ms), per_s, wait_max_ms)
+        wait_ms = limiter.reserve(at(now_ms), per_s, wait_max_ms)
         if wait_ms is not None:
             sent.append(now_ms + wait_ms)
     most = max(
         (sum(a <= b < a + WINDOW_MS for b in sent) for a in sent), default=0
     )
-    burst = max(1.0, per_s * send_meter.BURST_MS / 1_000.0)
+    burst = max(1.0, per_s * send_limiter.BURST_MS / 1_000.0)
     assert most <= per_s * WINDOW_MS / 1_000.0 + burst + 1
 
 
 def test_request_that_cannot_wait_reserves_nothing() -> None:
-    meter = send_meter.SendMeter(at(0), 1.0)
-    assert meter.reserve(at(100), 1.0, 800.0) is None
-    assert meter.reserve(at(100), 1.0, 900.0) == pytest.approx(900.0)
-    assert meter.next_in_ms(at(100), 1.0) == pytest.approx(1_900.0)
+    limiter = send_limiter.SendLimiter(at(0), 1.0)
+    assert limiter.reserve(at(100), 1.0, 800.0) is None
+    assert limiter.reserve(at(100), 1.0, 900.0) == pytest.approx(900.0)
+    assert limiter.next_in_ms(at(100), 1.0) == pytest.approx(1_900.0)
 
 
 def test_request_reserved_elsewhere_counts() -> None:
-    meter = send_meter.SendMeter(at(0), 1.0)
-    meter.note(at(2_000), 1.0)
-    assert meter.next_in_ms(at(2_000), 1.0) == pytest.approx(1_000.0)
+    limiter = send_limiter.SendLimiter(at(0), 1.0)
+    limiter.note(at(2_000), 1.0)
+    assert limiter.next_in_ms(at(2_000), 1.0) == pytest.approx(1_000.0)
 
 
 @pytest.mark.parametrize("known", [2, 3, 8, 44])
@@ -63,17 +63,17 @@
 ) -> None:
     for part in range(1, known):
         rates = [
-            send_meter.rate_here(10.0, alive, known)
+            send_limiter.rate_here(10.0, alive, known)
             for alive in (part, known - part)
         ]
         assert sum(rates) <= 10.0 * EXCESS_SHARE
-    assert send_meter.rate_here(10.0, known, known) == 10.0
+    assert send_limiter.rate_here(10.0, known, known) == 10.0
 
 
 def test_limit_of_zero_allows_trial_requests() -> None:
-    assert send_meter.rate_here(0.0, 1, 1) == send_meter.TRIAL_PER_S
+    assert send_limiter.rate_here(0.0, 1, 1) == send_limiter.TRIAL_PER_S
     window_s = WINDOW_MS / 1_000.0
-    assert send_meter.TRIAL_PER_S * window_s + 1 <= EXCESS_REQUESTS
+    assert send_limiter.TRIAL_PER_S * window_s + 1 <= EXCESS_REQUESTS
 
 
 def member(number: int, data_centre: str) -> members.Member:
--- a/tests/direct/fleet/limited_fleet.py
+++ b/tests/direct/fleet/limited_fleet.py
@@ -18,7 +18,7 @@
 from marlramp.core import catalog
 from marlramp.core import fleet
 from marlramp.core import replica_view
-from marlramp.core import send_meter
+from marlramp.core import send_limiter
 from marlramp.core import upstream_choice
 from marlramp.direct.calls import wire
 from marlramp.experiments import virtual_time
@@ -92,7 +92,7 @@
         )
         self.served = 0
         self.refused = 0
-        self._shares: dict[tuple[str, str], send_meter.SendMeter] = {}
+        self._shares: dict[tuple[str, str], send_limiter.SendLimiter] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         super().__init__(count, regions, seed, self.virtual)
 
@@ -187,7 +187,7 @@
             return None
         key = (entry.name, view.replica.replica_id)
         if key not in self._shares:
-            self._shares[key] = send_meter.SendMeter(now_ms, per_s)
+            self._shares[key] = send_limiter.SendLimiter(now_ms, per_s)
         meter = self._shares[key]
         wait_ms = meter.reserve(now_ms, per_s, wait_max_ms)
         limit.next_ms = now_ms + meter.next_in_ms(now_ms, per_s)
