--- a/src/marlramp/core/send_limiter.py
+++ b/src/marlramp/core/send_limiter.py
@@ -29,7 +29,7 @@
 _MS = clock.MILLIS_PER_SECOND
 
 
-def rate_here(per_s: float, alive: int, known: int) -> float:
+def partition_rate(per_s: float, alive: int, known: int) -> float:
     """Returns the rate that may be used on this side of a network partition.
 
     Args:
--- a/src/marlramp/direct/fleet/send_meters.py
+++ b/src/marlramp/direct/fleet/send_meters.py
@@ -292,7 +292,9 @@
         per_s = self._known.limits.per_s(replica_id)
         if per_s is None:
             return None
-        return send_limiter.rate_here(per_s, self._alive, self._entries_known)
+        return send_limiter.partition_rate(
+            per_s, self._alive, self._entries_known
+        )
 
     def _meter(self, replica_id: str, rate: float) -> send_limiter.SendLimiter:
         meter = self._meters.get(replica_id)
--- a/tests/core/test_send_limiter.py
+++ b/tests/core/test_send_limiter.py
@@ -63,15 +63,15 @@
 ) -> None:
     for part in range(1, known):
         rates = [
-            send_limiter.rate_here(10.0, alive, known)
+            send_limiter.partition_rate(10.0, alive, known)
             for alive in (part, known - part)
         ]
         assert sum(rates) <= 10.0 * EXCESS_SHARE
-    assert send_limiter.rate_here(10.0, known, known) == 10.0
+    assert send_limiter.partition_rate(10.0, known, known) == 10.0
 
 
 def test_limit_of_zero_allows_trial_requests() -> None:
-    assert send_limiter.rate_here(0.0, 1, 1) == send_limiter.TRIAL_PER_S
+    assert send_limiter.partition_rate(0.0, 1, 1) == send_limiter.TRIAL_PER_S
     window_s = WINDOW_MS / 1_000.0
     assert send_limiter.TRIAL_PER_S * window_s + 1 <= EXCESS_REQUESTS
 
