--- a/src/marlramp/core/meter_duty.py
+++ b/src/marlramp/core/limiter_assignment.py
@@ -13,7 +13,7 @@
 second learns of the reservations and takes over while the first is silent."""
 
 
-def meters_of(
+def limiters_of(
     replica_id: str,
     data_centre: str,
     entries: Sequence[members.Member],
--- a/src/marlramp/direct/fleet/entry_limits.py
+++ b/src/marlramp/direct/fleet/entry_limits.py
@@ -73,9 +73,9 @@
         """Returns in how many milliseconds a request may be sent."""
         return await self._meters.reserve(view, wait_max_ms)
 
-    def meters_of(self, view: replica_view.ReplicaView) -> list[str]:
+    def limiters_of(self, view: replica_view.ReplicaView) -> list[str]:
         """Returns the VMs of the entries that reserve for a replica."""
-        return self._meters.meters_of(view)
+        return self._meters.limiters_of(view)
 
     # What other entries say.
 
--- a/src/marlramp/direct/fleet/send_meters.py
+++ b/src/marlramp/direct/fleet/send_meters.py
@@ -12,8 +12,8 @@
 
 from marlramp import clock
 from marlramp import counters
+from marlramp.core import limiter_assignment
 from marlramp.core import members
-from marlramp.core import meter_duty
 from marlramp.core import replica_limits
 from marlramp.core import replica_table
 from marlramp.core import replica_view
@@ -153,7 +153,7 @@
         """Returns the entries that reserve, those that fell silent last."""
         horizon_ms = self._clock.now_ms() - SILENT_MS
         return sorted(
-            self.meters_of(view),
+            self.limiters_of(view),
             key=lambda name: self._silent.get(name, float("-inf")) > horizon_ms,
         )
 
@@ -246,7 +246,7 @@
         view = self._table.get(replica_id)
         if view is None or limit is None:
             return
-        others = [n for n in self.meters_of(view) if n != self._own.vm_id]
+        others = [n for n in self.limiters_of(view) if n != self._own.vm_id]
         self._sync.send_all(others, fleet_messages.SendReserved(limit=limit))
 
     def _pause_ms(self, name: str) -> float:
@@ -264,7 +264,7 @@
     def _own(self) -> members.Member:
         return self._sync.roster.own.member
 
-    def meters_of(self, view: replica_view.ReplicaView) -> list[str]:
+    def limiters_of(self, view: replica_view.ReplicaView) -> list[str]:
         """Returns the VMs of the entries that reserve, the first one first."""
         replica_id = view.replica.replica_id
         if self._sync.roster.changes != self._seen_changes:
@@ -280,7 +280,7 @@
         entries = [entry for entry in alive if entry not in leaving]
         if self._sync.roster.own.state is not members.MemberState.LEAVING:
             entries.append(self._own)
-        return meter_duty.meters_of(
+        return limiter_assignment.limiters_of(
             view.replica.replica_id,
             view.replica.data_centre,
             entries,
--- a/src/marlramp/direct/limit_pages.py
+++ b/src/marlramp/direct/limit_pages.py
@@ -52,7 +52,7 @@
             service=view.replica.service_id,
             limit_per_s=known.per_s,
             age_ms=round(now_ms - known.at_ms),
-            reserved_by=limits.meters_of(view),
+            reserved_by=limits.limiters_of(view),
             room_in_ms=round(view.limit_wait_ms(now_ms)),
         )
         rows.append(row)
--- a/tests/core/test_send_limiter.py
+++ b/tests/core/test_send_limiter.py
@@ -7,8 +7,8 @@
 import pytest
 
 from marlramp import clock
+from marlramp.core import limiter_assignment
 from marlramp.core import members
-from marlramp.core import meter_duty
 from marlramp.core import send_limit
 from marlramp.core import send_limiter
 
@@ -85,19 +85,19 @@
 def test_limiters_are_in_the_replicas_region_if_any_entry_is() -> None:
     regions = {"dc-0": "north", "dc-1": "north", "dc-2": "south"}
     entries = [member(n, f"dc-{n % 3}") for n in range(9)]
-    names = meter_duty.meters_of("i-1", "dc-2", entries, regions)
-    assert len(names) == meter_duty.LIMITERS
+    names = limiter_assignment.limiters_of("i-1", "dc-2", entries, regions)
+    assert len(names) == limiter_assignment.LIMITERS
     assert set(names) <= {"entry-2", "entry-5", "entry-8"}
     north = [entry for entry in entries if entry.data_centre != "dc-2"]
-    assert meter_duty.meters_of("i-1", "dc-2", north, regions)
-    assert meter_duty.meters_of("i-1", "dc-2", [], regions) == []
+    assert limiter_assignment.limiters_of("i-1", "dc-2", north, regions)
+    assert limiter_assignment.limiters_of("i-1", "dc-2", [], regions) == []
 
 
 def test_standby_limiter_takes_over_from_the_first() -> None:
     entries = [member(n, "dc-0") for n in range(9)]
-    first, second = meter_duty.meters_of("i-1", "dc-0", entries, {})
+    first, second = limiter_assignment.limiters_of("i-1", "dc-0", entries, {})
     rest = [entry for entry in entries if entry.vm_id != first]
-    assert meter_duty.meters_of("i-1", "dc-0", rest, {})[0] == second
+    assert limiter_assignment.limiters_of("i-1", "dc-0", rest, {})[0] == second
 
 
 def test_less_urgent_requests_wait_for_less_of_their_time() -> None:
--- a/tests/direct/fleet/limited_fleet.py
+++ b/tests/direct/fleet/limited_fleet.py
@@ -182,7 +182,7 @@
         per_s = limit.per_s
         if self.way is Way.SHARES:
             per_s /= len(self.running())
-        elif entry.limits.meters_of(view)[0] != entry.name:
+        elif entry.limits.limiters_of(view)[0] != entry.name:
             limit.reserve_from_ms = now_ms + 100.0
             return None
         key = (entry.name, view.replica.replica_id)
