--- a/src/marlramp/core/send_limiter.py
+++ b/src/marlramp/core/send_limiter.py
@@ -77,9 +77,9 @@
         wait_ms = self.next_in_ms(now_ms, per_s)
         if wait_ms > min(wait_max_ms, RESERVED_MAX_MS):
             return None
-        self.note(now_ms, per_s)
+        self.record_reservation(now_ms, per_s)
         return wait_ms
 
-    def note(self, now_ms: clock.Millis, per_s: float) -> None:
+    def record_reservation(self, now_ms: clock.Millis, per_s: float) -> None:
         """Records a reservation, also one that another entry made."""
         self._due_ms = max(now_ms, self._due_ms) + _MS / per_s
--- a/src/marlramp/direct/fleet/send_meters.py
+++ b/src/marlramp/direct/fleet/send_meters.py
@@ -198,7 +198,7 @@
         rate = self._rate(message.limit.replica_id)
         if rate is not None:
             meter = self._meter(message.limit.replica_id, rate)
-            meter.note(self._clock.now_ms(), rate)
+            meter.record_reservation(self._clock.now_ms(), rate)
 
     def tick(self) -> None:
         """Follows the members; drops what belongs to limits that have ended."""
--- a/tests/core/test_send_limiter.py
+++ b/tests/core/test_send_limiter.py
@@ -53,7 +53,7 @@
 
 def test_request_reserved_elsewhere_counts() -> None:
     limiter = send_limiter.SendLimiter(at(0), 1.0)
-    limiter.note(at(2_000), 1.0)
+    limiter.record_reservation(at(2_000), 1.0)
     assert limiter.next_in_ms(at(2_000), 1.0) == pytest.approx(1_000.0)
 
 
