--- a/src/marlramp/core/admission.py
+++ b/src/marlramp/core/admission.py
@@ -75,7 +75,7 @@
     Attributes:
       wanted: what the request needs of a replica.
       elapsed_ms: time since the caller's first attempt, as far as is known.
-      stays_ms: how long the caller waits for the answer to begin.
+      wait_max_ms: how long the caller waits for the answer to begin.
       objective_ms: time within which the answer should begin.
       oldest_behind: oldest weights version that the request may begin on if it
         goes to the back of the queue and so begins later.
@@ -86,7 +86,7 @@
 
     wanted: upstream_choice.Wanted
     elapsed_ms: float
-    stays_ms: float
+    wait_max_ms: float
     objective_ms: float
     oldest_behind: int = 0
     begun: bool = False
@@ -170,7 +170,7 @@
     if not ranked_behind:
         return front if request.maybe_ran else _refusal(late_ms, 0.0, rng)
     behind = ranked_behind[0]
-    excess_ms = behind.predicted_ms - BEHIND_WAIT_SHARE * request.stays_ms
+    excess_ms = behind.predicted_ms - BEHIND_WAIT_SHARE * request.wait_max_ms
     if excess_ms <= 0.0 or request.maybe_ran:
         return behind
     return _refusal(late_ms, excess_ms, rng)
--- a/src/marlramp/direct/calls/selection.py
+++ b/src/marlramp/direct/calls/selection.py
@@ -154,7 +154,7 @@
         request = admission.Request(
             wanted=wanted,
             elapsed_ms=call.elapsed_ms(now_ms),
-            stays_ms=stays_ms,
+            wait_max_ms=stays_ms,
             oldest_behind=self._oldest_weights(call.service, stays_ms, now_ms),
             objective_ms=call.route.objective_ms,
             begun=call.relay.started,
--- a/src/marlramp/experiments/overload.py
+++ b/src/marlramp/experiments/overload.py
@@ -222,7 +222,7 @@
         request = admission.Request(
             wanted=wanted,
             elapsed_ms=entry.waits.spent_ms(left_ms),
-            stays_ms=min(left_ms, GAP_MAX_MS),
+            wait_max_ms=min(left_ms, GAP_MAX_MS),
             objective_ms=OBJECTIVE_MS,
             begun=self._plan.policy is overload_plan.Policy.SEND_ALL,
         )
--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -43,7 +43,7 @@
         failed=(),
     )
     return admission.Request(
-        wanted=wanted, elapsed_ms=0.0, stays_ms=2_000.0, objective_ms=400.0
+        wanted=wanted, elapsed_ms=0.0, wait_max_ms=2_000.0, objective_ms=400.0
     )
 
 
--- a/tests/direct/fleet/limited_fleet.py
+++ b/tests/direct/fleet/limited_fleet.py
@@ -150,7 +150,7 @@
                     limit_wait_max_ms=max(0.0, left_ms),
                 ),
                 elapsed_ms=now_ms - started_ms,
-                stays_ms=2_000.0,
+                wait_max_ms=2_000.0,
                 objective_ms=OBJECTIVE_MS,
             )
             places = upstream_choice.Places({entry.member.data_centre})
