--- a/src/marlramp/core/admission.py
+++ b/src/marlramp/core/admission.py
@@ -201,7 +201,7 @@
     least_ms = RETRY_AFTER_LIMITED_MS
     if request.wanted.engine is not None:
         least_ms = RETRY_AFTER_MIN_MS
-    retry_ms = spread_ms(max(least_ms, open_ms), rng)
+    retry_ms = jittered_ms(max(least_ms, open_ms), rng)
     return Refusal(open_ms, retry_ms, RefusalReason.LIMITED)
 
 
@@ -241,18 +241,18 @@
       excess_ms: by how much it would have waited too long.
       rng: source of the jitter.
     """
-    return spread_ms(max(RETRY_AFTER_MIN_MS, excess_ms), rng)
+    return jittered_ms(max(RETRY_AFTER_MIN_MS, excess_ms), rng)
 
 
-def spread_ms(base_ms: float, rng: random.Random) -> float:
+def jittered_ms(base_ms: float, rng: random.Random) -> float:
     """Returns a retry time with jitter, at most `RETRY_AFTER_MAX_MS`.
 
     Args:
       base_ms: the time without jitter.
       rng: source of the jitter.
     """
-    jittered_ms = base_ms * (1.0 + JITTER * rng.random())
-    return min(RETRY_AFTER_MAX_MS, jittered_ms)
+    longest_ms = base_ms * (1.0 + JITTER * rng.random())
+    return min(RETRY_AFTER_MAX_MS, longest_ms)
 
 
 def return_ms(open_ms: float, rng: random.Random) -> float:
@@ -264,5 +264,5 @@
       rng: source of the jitter.
     """
     if math.isinf(open_ms):
-        return spread_ms(RETRY_AFTER_MIN_MS, rng)
+        return jittered_ms(RETRY_AFTER_MIN_MS, rng)
     return open_ms + RETURN_JITTER_MS * rng.random()
--- a/src/marlramp/direct/calls/selection.py
+++ b/src/marlramp/direct/calls/selection.py
@@ -255,12 +255,12 @@
         now_ms = self._clock.now_ms()
         decision = self._decide(call, now_ms, failed=())
         if isinstance(decision, upstream_choice.Choice):
-            return int(admission.spread_ms(RETRY_AFTER_OPEN_MS, self._rng))
+            return int(admission.jittered_ms(RETRY_AFTER_OPEN_MS, self._rng))
         if decision is not None:
             return int(decision.retry_after_ms)
         if call.service.engine is None:
             return int(RETRY_AFTER_PLAIN_MS)
-        return int(admission.spread_ms(RETRY_AFTER_ENGINE_MS, self._rng))
+        return int(admission.jittered_ms(RETRY_AFTER_ENGINE_MS, self._rng))
 
 
 def _opens_by(
