--- a/src/marlramp/core/lookup_share.py
+++ b/src/marlramp/core/lookup_share.py
@@ -18,7 +18,7 @@
 """Most entries in one answer; callers ignore further ones."""
 
 
-def share_of(
+def entries_for(
     data_centre: str,
     data_centres: Sequence[str],
     entries: Sequence[members.Member],
--- a/src/marlramp/direct/entry_daemon.py
+++ b/src/marlramp/direct/entry_daemon.py
@@ -301,7 +301,7 @@
         if self._is_ready() or not found:
             found.append(self._own)
         data_centres = list(self._settings.regions)
-        named = lookup_share.share_of(data_centre, data_centres, found)
+        named = lookup_share.entries_for(data_centre, data_centres, found)
         return sorted(entry.callers for entry in named)
 
     # What changed.
--- a/tests/core/test_lookup_share.py
+++ b/tests/core/test_lookup_share.py
@@ -25,7 +25,7 @@
 
 def test_few_entries_are_all_returned() -> None:
     found = entries(lookup_share.ADDRESSES_MAX)
-    assert lookup_share.share_of("dc-1", DATA_CENTRES, found) == found
+    assert lookup_share.entries_for("dc-1", DATA_CENTRES, found) == found
 
 
 @pytest.mark.parametrize("count", [65, 98, 134, 630])
@@ -33,7 +33,7 @@
     found = entries(count)
     named: collections.Counter[str] = collections.Counter()
     for data_centre in DATA_CENTRES:
-        part = lookup_share.share_of(data_centre, DATA_CENTRES, found)
+        part = lookup_share.entries_for(data_centre, DATA_CENTRES, found)
         assert len({entry.vm_id for entry in part}) == 64
         named.update(entry.vm_id for entry in part)
     counts = [named[entry.vm_id] for entry in found]
@@ -42,12 +42,12 @@
 
 def test_callers_keep_most_entries_when_one_goes() -> None:
     found = entries(98)
-    before = lookup_share.share_of("dc-2", DATA_CENTRES, found)
-    after = lookup_share.share_of("dc-2", DATA_CENTRES, found[1:])
+    before = lookup_share.entries_for("dc-2", DATA_CENTRES, found)
+    after = lookup_share.entries_for("dc-2", DATA_CENTRES, found[1:])
     kept = {e.vm_id for e in before} & {e.vm_id for e in after}
     assert len(kept) >= lookup_share.ADDRESSES_MAX - 2
 
 
 def test_caller_of_an_unknown_data_centre_gets_entries_too() -> None:
-    part = lookup_share.share_of("", DATA_CENTRES, entries(98))
+    part = lookup_share.entries_for("", DATA_CENTRES, entries(98))
     assert len(part) == lookup_share.ADDRESSES_MAX
