--- a/src/marlramp/direct/calls/sender.py
+++ b/src/marlramp/direct/calls/sender.py
@@ -12,7 +12,7 @@
 from marlramp import errors
 from marlramp import ids
 from marlramp import logs
-from marlramp.core import attempt_limits
+from marlramp.core import attempt_timeouts
 from marlramp.core import caller_timeout
 from marlramp.core import fleet
 from marlramp.core import queue_place
@@ -323,7 +323,7 @@
         route = call.route
         sends_left = call.runs + 1 <= route.attempts_max - 1
         gap_timeout_ms = caller_timeout.gap_timeout_ms(route)
-        waiting = attempt_limits.Waiting(
+        waiting = attempt_timeouts.Waiting(
             streaming=route.streaming,
             begun=attempt.begun,
             may_repeat=route.repeatable and sends_left,
@@ -335,7 +335,7 @@
             predicted_ms=choice.predicted_ms,
             begins_until_ms=choice.taken_back_ms(self._clock.now_ms()),
         )
-        return attempt_limits.limit_ms(waiting)
+        return attempt_timeouts.limit_ms(waiting)
 
     def _stalled(
         self, call: call_module.Call, attempt: attempts.Attempt
--- a/tests/core/test_attempt_limits.py
+++ b/tests/core/test_attempt_timeouts.py
@@ -3,9 +3,9 @@
 import msgspec
 import pytest
 
-from marlramp.core import attempt_limits
+from marlramp.core import attempt_timeouts
 
-STREAM = attempt_limits.Waiting(
+STREAM = attempt_timeouts.Waiting(
     streaming=True,
     begun=False,
     may_repeat=True,
@@ -21,7 +21,7 @@
 
 def limit(**changes: object) -> float:
     waiting = msgspec.structs.replace(STREAM, **changes)
-    return attempt_limits.limit_ms(waiting)
+    return attempt_timeouts.limit_ms(waiting)
 
 
 @pytest.mark.parametrize("may_repeat", [True, False])
@@ -42,12 +42,12 @@
 def test_silent_replica_times_out_sooner_than_one_that_serves_others() -> None:
     silent_ms = limit()
     busy_ms = limit(heard_ms=1_600.0)
-    assert silent_ms == 1_010.0 + attempt_limits.STALL_FLOOR_MS
-    assert busy_ms == 1_600.0 + attempt_limits.STALL_FLOOR_MS
+    assert silent_ms == 1_010.0 + attempt_timeouts.STALL_FLOOR_MS
+    assert busy_ms == 1_600.0 + attempt_timeouts.STALL_FLOOR_MS
     assert limit(heard_ms=6_000.0) < 3_000.0
 
 
 def test_request_that_may_run_only_once_gets_the_full_timeout() -> None:
     assert limit(may_repeat=False) == 7_000.0
     plain_ms = limit(streaming=False)
-    assert plain_ms == 1_010.0 + attempt_limits.PLAIN_STALL_SHARE * 6_000.0
+    assert plain_ms == 1_010.0 + attempt_timeouts.PLAIN_STALL_SHARE * 6_000.0
