--- a/src/marlramp/core/attempt_timeouts.py
+++ b/src/marlramp/core/attempt_timeouts.py
@@ -30,7 +30,7 @@
 elsewhere."""
 
 
-class Waiting(msgspec.Struct, frozen=True, kw_only=True):
+class PendingAttempt(msgspec.Struct, frozen=True, kw_only=True):
     """State of an attempt whose answer is not complete.
 
     Attributes:
@@ -59,30 +59,30 @@
     begins_until_ms: float
 
 
-def limit_ms(waiting: Waiting) -> float:
+def limit_ms(attempt: PendingAttempt) -> float:
     """Returns the time at which an attempt is given up.
 
     An attempt that has not begun is given up at `begins_until_ms`, whether or
     not it can be retried: if it began later on a replica with the old version,
     the guarantee that the new version is in force would be broken.
     """
-    ends_ms = waiting.ends_ms
-    if not waiting.begun:
-        ends_ms = min(ends_ms, waiting.begins_until_ms)
-    if not waiting.may_repeat:
+    ends_ms = attempt.ends_ms
+    if not attempt.begun:
+        ends_ms = min(ends_ms, attempt.begins_until_ms)
+    if not attempt.may_repeat:
         return ends_ms
-    return min(ends_ms, waiting.progress_ms + _stall_ms(waiting))
+    return min(ends_ms, attempt.progress_ms + _stall_ms(attempt))
 
 
-def _stall_ms(waiting: Waiting) -> float:
+def _stall_ms(attempt: PendingAttempt) -> float:
     """Returns how long an attempt may go without progress."""
-    if not waiting.streaming:
-        return PLAIN_STALL_SHARE * (waiting.ends_ms - waiting.received_ms)
-    if waiting.begun:
+    if not attempt.streaming:
+        return PLAIN_STALL_SHARE * (attempt.ends_ms - attempt.received_ms)
+    if attempt.begun:
         return STALL_FLOOR_MS
     longest_ms = max(
-        FIRST_EVENT_SHARE * waiting.gap_timeout_ms,
-        FIRST_EVENT_FACTOR * waiting.predicted_ms,
+        FIRST_EVENT_SHARE * attempt.gap_timeout_ms,
+        FIRST_EVENT_FACTOR * attempt.predicted_ms,
     )
-    heard_after_ms = max(0.0, waiting.heard_ms - waiting.progress_ms)
+    heard_after_ms = max(0.0, attempt.heard_ms - attempt.progress_ms)
     return min(longest_ms, heard_after_ms + STALL_FLOOR_MS)
--- a/src/marlramp/direct/calls/sender.py
+++ b/src/marlramp/direct/calls/sender.py
@@ -323,7 +323,7 @@
         route = call.route
         sends_left = call.runs + 1 <= route.attempts_max - 1
         gap_timeout_ms = caller_timeout.gap_timeout_ms(route)
-        waiting = attempt_timeouts.Waiting(
+        waiting = attempt_timeouts.PendingAttempt(
             streaming=route.streaming,
             begun=attempt.begun,
             may_repeat=route.repeatable and sends_left,
--- a/tests/core/test_attempt_timeouts.py
+++ b/tests/core/test_attempt_timeouts.py
@@ -5,7 +5,7 @@
 
 from marlramp.core import attempt_timeouts
 
-STREAM = attempt_timeouts.Waiting(
+STREAM = attempt_timeouts.PendingAttempt(
     streaming=True,
     begun=False,
     may_repeat=True,
@@ -20,8 +20,8 @@
 
 
 def limit(**changes: object) -> float:
-    waiting = msgspec.structs.replace(STREAM, **changes)
-    return attempt_timeouts.limit_ms(waiting)
+    attempt = msgspec.structs.replace(STREAM, **changes)
+    return attempt_timeouts.limit_ms(attempt)
 
 
 @pytest.mark.parametrize("may_repeat", [True, False])
