--- a/src/marlramp/core/attempt_timeouts.py
+++ b/src/marlramp/core/attempt_timeouts.py
@@ -59,7 +59,7 @@
     begins_until_ms: float
 
 
-def limit_ms(attempt: PendingAttempt) -> float:
+def deadline_ms(attempt: PendingAttempt) -> float:
     """Returns the time at which an attempt is given up.
 
     An attempt that has not begun is given up at `begins_until_ms`, whether or
--- a/src/marlramp/direct/calls/sender.py
+++ b/src/marlramp/direct/calls/sender.py
@@ -335,7 +335,7 @@
             predicted_ms=choice.predicted_ms,
             begins_until_ms=choice.taken_back_ms(self._clock.now_ms()),
         )
-        return attempt_timeouts.limit_ms(waiting)
+        return attempt_timeouts.deadline_ms(waiting)
 
     def _stalled(
         self, call: call_module.Call, attempt: attempts.Attempt
--- a/tests/core/test_attempt_timeouts.py
+++ b/tests/core/test_attempt_timeouts.py
@@ -19,35 +19,37 @@
 )
 
 
-def limit(**changes: object) -> float:
+def deadline(**changes: object) -> float:
     attempt = msgspec.structs.replace(STREAM, **changes)
-    return attempt_timeouts.limit_ms(attempt)
+    return attempt_timeouts.deadline_ms(attempt)
 
 
 @pytest.mark.parametrize("may_repeat", [True, False])
 def test_request_without_events_is_given_up_before_the_next_version_is_due(
     may_repeat: bool,
 ) -> None:
-    ends_ms = limit(may_repeat=may_repeat, begins_until_ms=1_350.0)
+    ends_ms = deadline(may_repeat=may_repeat, begins_until_ms=1_350.0)
     assert ends_ms == 1_350.0
 
 
 def test_stream_that_has_begun_continues_after_the_next_version_is_due() -> (
     None
 ):
-    assert limit(begun=True, may_repeat=False, begins_until_ms=1_350.0) == 7_000
-    assert limit(begun=True, begins_until_ms=1_350.0) > 1_350.0
+    assert (
+        deadline(begun=True, may_repeat=False, begins_until_ms=1_350.0) == 7_000
+    )
+    assert deadline(begun=True, begins_until_ms=1_350.0) > 1_350.0
 
 
 def test_silent_replica_times_out_sooner_than_one_that_serves_others() -> None:
-    silent_ms = limit()
-    busy_ms = limit(heard_ms=1_600.0)
+    silent_ms = deadline()
+    busy_ms = deadline(heard_ms=1_600.0)
     assert silent_ms == 1_010.0 + attempt_timeouts.STALL_FLOOR_MS
     assert busy_ms == 1_600.0 + attempt_timeouts.STALL_FLOOR_MS
-    assert limit(heard_ms=6_000.0) < 3_000.0
+    assert deadline(heard_ms=6_000.0) < 3_000.0
 
 
 def test_request_that_may_run_only_once_gets_the_full_timeout() -> None:
-    assert limit(may_repeat=False) == 7_000.0
-    plain_ms = limit(streaming=False)
+    assert deadline(may_repeat=False) == 7_000.0
+    plain_ms = deadline(streaming=False)
     assert plain_ms == 1_010.0 + attempt_timeouts.PLAIN_STALL_SHARE * 6_000.0
