--- a/models/version_swap.py
+++ b/models/version_swap.py
@@ -211,7 +211,7 @@
             found = next(a for a in build(Rules()).actions if a.name == action)
             self.state = found.apply(state)
             if self.state.seen is None:
-                self.guard.lost()
+                self.guard.invalidate()
 
     def _observe(self) -> None:
         engine = self.state.engine
@@ -239,7 +239,7 @@
         expected = ids.VersionId(_version(state.running))
         if stamp != expected:
             self._rejects_mixed(seq, stamp, expected)
-            self.guard.lost()
+            self.guard.invalidate()
             self.state = dataclasses.replace(
                 state, running=None, seen=None, open=False
             )
--- a/src/marlramp/agent/rollout.py
+++ b/src/marlramp/agent/rollout.py
@@ -124,7 +124,7 @@
     def version_surprise(self, version: ids.VersionId) -> None:
         """Closes admission after an answer from an unexpected version."""
         logs.log("engine_version_surprise", version=version)
-        self._guard.lost()
+        self._guard.invalidate()
         self._apply_verdict()
 
     def set_rollout(
@@ -153,7 +153,7 @@
             state = await self._engine.state()
         except engine_client.EngineError as error:
             logs.log("engine_unreachable", detail=error)
-            self._guard.lost()
+            self._guard.invalidate()
         else:
             self._guard.observe(state, self._clock.now_ms())
         self._apply_verdict()
--- a/src/marlramp/core/guard.py
+++ b/src/marlramp/core/guard.py
@@ -95,7 +95,7 @@
         self._state = state
         self._read_ms = now_ms
 
-    def lost(self) -> None:
+    def invalidate(self) -> None:
         """Closes admission until the engine is read again."""
         self._state = None
 
