--- a/src/marlramp/agent/rollout.py
+++ b/src/marlramp/agent/rollout.py
@@ -344,7 +344,7 @@
         give: Callable[[ids.VersionId, int], object],
     ) -> None:
         """Gives one order with a fresh fencing number, reading before it."""
-        if not self._guard.fresh(self._clock.now_ms()):
+        if not self._guard.is_fresh(self._clock.now_ms()):
             await self._observe()
         fencing = self._guard.next_fencing(target)
         if fencing is None:
--- a/src/marlramp/core/guard.py
+++ b/src/marlramp/core/guard.py
@@ -99,7 +99,7 @@
         """Closes admission until the engine is read again."""
         self._state = None
 
-    def fresh(self, now_ms: clock.Millis) -> bool:
+    def is_fresh(self, now_ms: clock.Millis) -> bool:
         """Returns whether there is a report that is at most `PAUSE_MS` old.
 
         After a pause of this process, the last report is out of date.
@@ -114,7 +114,7 @@
           now_ms: the time.
         """
         state = self._state
-        if state is None or not self.fresh(now_ms) or not state.serving:
+        if state is None or not self.is_fresh(now_ms) or not state.serving:
             return Verdict.CLOSED
         reported = state.loaded.get(state.serving)
         if reported is None:
