--- a/src/marlramp/agent/weight_sources.py
+++ b/src/marlramp/agent/weight_sources.py
@@ -62,7 +62,7 @@
             return await self._store.chunk(digest)
 
     def _take(self, rate: limits.TokenBucket, reason: str) -> None:
-        wait_ms = rate.try_take(1.0, self._clock.now_ms())
+        wait_ms = rate.try_consume(1.0, self._clock.now_ms())
         if wait_ms > 0:
             raise clients.PlatformError(f"own rate: {reason}", wait_ms)
         self._totals.add(counters.CounterName.PLATFORM_READS, reason)
--- a/src/marlramp/core/limits.py
+++ b/src/marlramp/core/limits.py
@@ -40,7 +40,7 @@
         self._updated_ms = now_ms
         return self._level
 
-    def try_take(self, amount: float, now_ms: clock.Millis) -> float:
+    def try_consume(self, amount: float, now_ms: clock.Millis) -> float:
         """Removes `amount` tokens if the bucket holds that many.
 
         An amount above `burst` is removed from a full bucket, which leaves the
@@ -148,10 +148,10 @@
           0 if the request is admitted, else the milliseconds after which to
           retry; then nothing is charged.
         """
-        wait_ms = self._tokens.try_take(tokens, now_ms)
+        wait_ms = self._tokens.try_consume(tokens, now_ms)
         if wait_ms > 0:
             return wait_ms
-        wait_ms = self._requests.try_take(1.0, now_ms)
+        wait_ms = self._requests.try_consume(1.0, now_ms)
         if wait_ms > 0:
             self._tokens.charge(-tokens, now_ms)
         return wait_ms
--- a/standins/weights.py
+++ b/standins/weights.py
@@ -103,7 +103,7 @@
             return responses.Response(status_code=503)
         if self.faults.get("stall"):
             await asyncio.sleep(3600)
-        wait_ms = self.bucket.try_take(1.0, self.clock.now_ms())
+        wait_ms = self.bucket.try_consume(1.0, self.clock.now_ms())
         if wait_ms > 0:
             self.refused += 1
             headers = {"retry-after": f"{wait_ms / 1000:.3f}"}
--- a/tests/core/test_limits.py
+++ b/tests/core/test_limits.py
@@ -6,11 +6,11 @@
 
 def test_refusal_returns_the_time_to_retry(time: clock.ManualClock) -> None:
     bucket = limits.TokenBucket(10.0, 1.0, time.now_ms())
-    assert bucket.try_take(1.0, time.now_ms()) == 0
-    wait_ms = bucket.try_take(1.0, time.now_ms())
+    assert bucket.try_consume(1.0, time.now_ms()) == 0
+    wait_ms = bucket.try_consume(1.0, time.now_ms())
     assert 99 <= wait_ms <= 101
     time.advance(wait_ms)
-    assert bucket.try_take(1.0, time.now_ms()) == 0
+    assert bucket.try_consume(1.0, time.now_ms()) == 0
 
 
 def test_shares_of_all_entries_sum_to_the_limit(
