--- a/src/marlramp/core/pace.py
+++ b/src/marlramp/core/run_duration.py
@@ -9,7 +9,7 @@
 """Expected time to the first part before any run has ended."""
 
 
-class RunPace:
+class RunDuration:
     """Smoothed time to the first part of an answer and between its parts."""
 
     def __init__(self) -> None:
--- a/src/marlramp/entry/service_queue.py
+++ b/src/marlramp/entry/service_queue.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from marlramp.core import pace
 from marlramp.core import queueing
 from marlramp.core import retries
+from marlramp.core import run_duration
 from marlramp.settings import schema
 
 RETRY_BUDGET_BURST = 20.0
@@ -19,7 +19,7 @@
         self.budget = retries.RetryBudget(
             values.retry_ratio, RETRY_BUDGET_BURST
         )
-        self.pace = pace.RunPace()
+        self.pace = run_duration.RunDuration()
         self.in_flight = 0
 
     def configure(self, values: schema.Settings) -> None:
