--- a/src/marlramp/core/replica_limits.py
+++ b/src/marlramp/core/replica_limits.py
@@ -64,7 +64,7 @@
       replica_id: the replica.
       born_ms: Unix time of the replica's start, None if it is not known.
       per_s: requests per second, None if the limit has ended.
-      age_ms: time since the replica named the limit or its end was observed.
+      age_ms: age of this information when the update is sent.
     """
 
     replica_id: str
@@ -79,14 +79,15 @@
     Attributes:
       born_ms: Unix time of the replica's start, None if it is not known.
       per_s: requests per second, None if the limit has ended.
-      at_ms: when the replica named the limit or its end was observed.
+      observed_ms: when the answer that named the limit arrived; for a limit
+        that has ended, when the request was sent whose answer named none.
       announced_per_s: rate that was last announced to other entries, None if
         the limit's end was.
     """
 
     born_ms: int | None
     per_s: float | None
-    at_ms: float
+    observed_ms: float
     announced_per_s: float | None
 
 
@@ -159,10 +160,10 @@
           update: a replica's limit.
           now_ms: when the update arrived.
         """
-        at_ms = now_ms - update.age_ms
+        observed_ms = now_ms - update.age_ms
         if update.per_s is None:
-            at_ms -= TRANSIT_MS
-        new = KnownLimit(update.born_ms, update.per_s, at_ms, None)
+            observed_ms -= TRANSIT_MS
+        new = KnownLimit(update.born_ms, update.per_s, observed_ms, None)
         return self._apply(update.replica_id, new)
 
     def _apply(self, replica_id: str, new: KnownLimit) -> Change:
@@ -171,7 +172,7 @@
             if replica_view.is_newer_start(known.born_ms, new.born_ms):
                 return Change.NONE
             restarted = replica_view.is_newer_start(new.born_ms, known.born_ms)
-            if not restarted and new.at_ms <= known.at_ms:
+            if not restarted and new.observed_ms <= known.observed_ms:
                 return Change.NONE
             new.born_ms = new.born_ms or known.born_ms
         change = _change(known, new)
@@ -193,12 +194,14 @@
           now_ms: the time.
         """
         for replica_id, known in list(self._known.items()):
-            age_ms = now_ms - known.at_ms
+            age_ms = now_ms - known.observed_ms
             if known.per_s is None and age_ms >= ENDED_KEPT_MS:
                 self._drop(replica_id)
         excess = len(self._known) - LIMITS_MAX
         if excess > 0:
-            oldest = sorted(self._known, key=lambda r: self._known[r].at_ms)
+            oldest = sorted(
+                self._known, key=lambda r: self._known[r].observed_ms
+            )
             self.forget(oldest[:excess])
 
     # Exchange with other entries.
@@ -214,7 +217,9 @@
         """
         found = ((r, self._known.get(r)) for r in replica_ids)
         return [
-            LimitUpdate(r, known.born_ms, known.per_s, now_ms - known.at_ms)
+            LimitUpdate(
+                r, known.born_ms, known.per_s, now_ms - known.observed_ms
+            )
             for r, known in found
             if known is not None
         ]
@@ -243,7 +248,7 @@
             for replica_id in self._known
             if self._digests.bucket_of(replica_id) in buckets
         ]
-        latest = sorted(found, key=lambda r: -self._known[r].at_ms)
+        latest = sorted(found, key=lambda r: -self._known[r].observed_ms)
         return latest[:UPDATES_MAX]
 
     def _put(self, replica_id: str, new: KnownLimit) -> None:
--- a/src/marlramp/direct/fleet/limit_sync.py
+++ b/src/marlramp/direct/fleet/limit_sync.py
@@ -183,7 +183,7 @@
             f"replica_limit_{change.value}",
             replica=replica_id,
             limit_per_s=known.per_s,
-            age_ms=round(now_ms - known.at_ms),
+            age_ms=round(now_ms - known.observed_ms),
             source=source,
         )
 
--- a/src/marlramp/direct/limit_pages.py
+++ b/src/marlramp/direct/limit_pages.py
@@ -51,7 +51,7 @@
             replica=replica_id,
             service=view.replica.service_id,
             limit_per_s=known.per_s,
-            age_ms=round(now_ms - known.at_ms),
+            age_ms=round(now_ms - known.observed_ms),
             reserved_by=limits.limiters_of(view),
             room_in_ms=round(view.limit_wait_ms(now_ms)),
         )
