--- a/src/marlramp/core/admission.py
+++ b/src/marlramp/core/admission.py
@@ -154,7 +154,7 @@
             return ranked[0]
     ranked = upstream_choice.rank(views, wanted, places, now_ms, rng)
     if not ranked:
-        return _closed(views, request, now_ms, rng)
+        return _closed_refusal(views, request, now_ms, rng)
     front = ranked[0]
     if wanted.engine is None or request.begun:
         return front
@@ -168,15 +168,15 @@
     )
     ranked_behind = upstream_choice.rank(views, yielding, places, now_ms)
     if not ranked_behind:
-        return front if request.maybe_ran else _refusal(late_ms, 0.0, rng)
+        return front if request.maybe_ran else _late_refusal(late_ms, 0.0, rng)
     behind = ranked_behind[0]
     excess_ms = behind.predicted_ms - BEHIND_WAIT_SHARE * request.wait_max_ms
     if excess_ms <= 0.0 or request.maybe_ran:
         return behind
-    return _refusal(late_ms, excess_ms, rng)
+    return _late_refusal(late_ms, excess_ms, rng)
 
 
-def _closed(
+def _closed_refusal(
     views: Sequence[replica_view.ReplicaView],
     request: Request,
     now_ms: clock.Millis,
@@ -196,7 +196,7 @@
     if open_ms is None or request.begun or request.maybe_ran:
         return None
     if any(view.availability.closed_ms(now_ms) > 0.0 for view in views):
-        retry_ms = return_ms(open_ms, rng)
+        retry_ms = retry_after_pause_ms(open_ms, rng)
         return Refusal(open_ms, retry_ms, RefusalReason.PAUSED)
     least_ms = RETRY_AFTER_LIMITED_MS
     if request.wanted.engine is not None:
@@ -205,7 +205,9 @@
     return Refusal(open_ms, retry_ms, RefusalReason.LIMITED)
 
 
-def _refusal(late_ms: float, excess_ms: float, rng: random.Random) -> Refusal:
+def _late_refusal(
+    late_ms: float, excess_ms: float, rng: random.Random
+) -> Refusal:
     return Refusal(late_ms, retry_after_ms(excess_ms, rng))
 
 
@@ -251,11 +253,11 @@
       base_ms: the time without jitter.
       rng: source of the jitter.
     """
-    longest_ms = base_ms * (1.0 + JITTER * rng.random())
-    return min(RETRY_AFTER_MAX_MS, longest_ms)
+    wait_ms = base_ms * (1.0 + JITTER * rng.random())
+    return min(RETRY_AFTER_MAX_MS, wait_ms)
 
 
-def return_ms(open_ms: float, rng: random.Random) -> float:
+def retry_after_pause_ms(open_ms: float, rng: random.Random) -> float:
     """Returns the time after which a caller should retry at closed replicas.
 
     Args:
--- a/src/marlramp/core/availability.py
+++ b/src/marlramp/core/availability.py
@@ -92,7 +92,7 @@
     # Updates from answers and sends.
 
     def record_pause(
-        self, wait_ms: float, spread: float, now_ms: clock.Millis
+        self, wait_ms: float, jitter: float, now_ms: clock.Millis
     ) -> Change:
         """Records a pause that the replica asked for.
 
@@ -100,14 +100,14 @@
 
         Args:
           wait_ms: length of the pause.
-          spread: random number from 0 to 1 that sets how much the entry extends
+          jitter: random number from 0 to 1 that sets how much the entry extends
             the pause, up to `RETURN_JITTER_SHARE`.
           now_ms: when the answer arrived.
 
         Returns:
           How the answer changes the replica's pause.
         """
-        until_ms = now_ms + wait_ms * (1.0 + RETURN_JITTER_SHARE * spread)
+        until_ms = now_ms + wait_ms * (1.0 + RETURN_JITTER_SHARE * jitter)
         if wait_ms <= 0.0 or until_ms <= self.paused_until_ms:
             return Change.NONE
         change = Change.EXTENDED
--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -355,7 +355,7 @@
     time: clock.ManualClock,
     rng: random.Random,
 ) -> None:
-    """A refusal excluded a replica among idle ones for seconds."""
+    """A refusal seconds earlier still excluded a replica among idle ones."""
     views = [
         replica_view.ReplicaView(
             make_replica(replica_id=f"i-{n}", weights=None),
--- a/tests/core/test_availability.py
+++ b/tests/core/test_availability.py
@@ -42,9 +42,9 @@
 
 def test_entries_return_from_one_pause_at_different_times() -> None:
     opened_ms = set()
-    for spread in (0.0, 0.3, 0.9):
+    for jitter in (0.0, 0.3, 0.9):
         replica = availability.Availability()
-        replica.record_pause(3_000.0, spread, 0.0)
+        replica.record_pause(3_000.0, jitter, 0.0)
         opened_ms.add(replica.paused_until_ms)
     assert len(opened_ms) == 3
     assert min(opened_ms) == 3_000.0
