--- a/src/marlramp/core/replica_view.py
+++ b/src/marlramp/core/replica_view.py
@@ -213,7 +213,9 @@
 
     def opens(self, now_ms: clock.Millis) -> bool:
         """Returns whether it takes new requests as far as is known."""
-        return self.availability.opens(now_ms) and self.is_reported_open(now_ms)
+        return self.availability.may_send(now_ms) and self.is_reported_open(
+            now_ms
+        )
 
     def is_reported_open(self, now_ms: clock.Millis) -> bool:
         """Returns whether the agent beside it does not say otherwise."""
@@ -223,7 +225,7 @@
     def takes(self, now_ms: clock.Millis) -> bool:
         """Returns whether a request that was meant for it may be written."""
         healthy = self.replica.state is fleet.ReplicaState.HEALTHY
-        return healthy and self.availability.takes(now_ms)
+        return healthy and self.availability.is_open(now_ms)
 
     def limit_wait_ms(self, now_ms: clock.Millis) -> float:
         """Returns how long its limit is expected to hold a request back."""
@@ -295,7 +297,7 @@
         else:
             self.unread += prompt_tokens
         self.breaker.record_start(now_ms)
-        self.availability.note_sent(now_ms)
+        self.availability.record_sent(now_ms)
         self.on_load_change(self.replica.replica_id)
 
     def note_read(
--- a/src/marlramp/direct/calls/replica_signals.py
+++ b/src/marlramp/direct/calls/replica_signals.py
@@ -76,9 +76,9 @@
         if answer.status in _PAUSING:
             self._note_pause(view, answer, now_ms)
         if answer.not_run:
-            view.availability.note_refused(sent_ms, now_ms)
+            view.availability.record_refusal(sent_ms, now_ms)
         elif answer.status not in _REFUSING:
-            view.availability.note_served(sent_ms, now_ms)
+            view.availability.record_served(sent_ms, now_ms)
 
     def note_leaving(self, view: replica_view.ReplicaView, source: str) -> None:
         """Takes that a replica leaves.
@@ -88,7 +88,7 @@
           source: who says so: an answer to this entry, or the agent beside it.
         """
         now_ms = self._clock.now_ms()
-        if not view.availability.note_leaving(self._drain_ms, now_ms):
+        if not view.availability.record_leaving(self._drain_ms, now_ms):
             return
         replica_id = view.replica.replica_id
         self._leaving[replica_id] = view
@@ -112,7 +112,7 @@
             self._note_unreadable(replica_id, answer.retry_after_unreadable)
         if answer.retry_after_ms is None:
             return
-        change = view.availability.note_pause(
+        change = view.availability.record_pause(
             answer.retry_after_ms, self._rng.random(), now_ms
         )
         if change is availability.Change.NONE:
--- a/src/marlramp/direct/calls/selection.py
+++ b/src/marlramp/direct/calls/selection.py
@@ -154,7 +154,7 @@
         request = admission.Request(
             wanted=wanted,
             elapsed_ms=call.elapsed_ms(now_ms),
-            stays_ms=stays_ms,
+            wait_max_ms=stays_ms,
             oldest_behind=self._oldest_weights(call.service, stays_ms, now_ms),
             objective_ms=call.route.objective_ms,
             begun=call.relay.started,
@@ -255,12 +255,12 @@
         now_ms = self._clock.now_ms()
         decision = self._decide(call, now_ms, failed=())
         if isinstance(decision, upstream_choice.Choice):
-            return int(admission.spread_ms(RETRY_AFTER_OPEN_MS, self._rng))
+            return int(admission.jittered_ms(RETRY_AFTER_OPEN_MS, self._rng))
         if decision is not None:
             return int(decision.retry_after_ms)
         if call.service.engine is None:
             return int(RETRY_AFTER_PLAIN_MS)
-        return int(admission.spread_ms(RETRY_AFTER_ENGINE_MS, self._rng))
+        return int(admission.jittered_ms(RETRY_AFTER_ENGINE_MS, self._rng))
 
 
 def _opens_by(
--- a/src/marlramp/direct/calls/sender.py
+++ b/src/marlramp/direct/calls/sender.py
@@ -12,8 +12,8 @@
 from marlramp import errors
 from marlramp import ids
 from marlramp import logs
-from marlramp.core import attempt_limits
-from marlramp.core import caller_patience
+from marlramp.core import attempt_timeouts
+from marlramp.core import caller_timeout
 from marlramp.core import fleet
 from marlramp.core import queue_place
 from marlramp.core import upstream_choice
@@ -322,8 +322,8 @@
         """Returns until when the attempt is waited for."""
         route = call.route
         sends_left = call.runs + 1 <= route.attempts_max - 1
-        gap_max_ms = caller_patience.gap_max_ms(route)
-        waiting = attempt_limits.Waiting(
+        gap_timeout_ms = caller_timeout.gap_timeout_ms(route)
+        waiting = attempt_timeouts.PendingAttempt(
             streaming=route.streaming,
             begun=attempt.begun,
             may_repeat=route.repeatable and sends_left,
@@ -331,11 +331,11 @@
             ends_ms=call.ends_ms,
             progress_ms=attempt.progress_ms,
             heard_ms=choice.view.heard_ms,
-            gap_max_ms=gap_max_ms if route.streaming else 0.0,
+            gap_timeout_ms=gap_timeout_ms if route.streaming else 0.0,
             predicted_ms=choice.predicted_ms,
             begins_until_ms=choice.taken_back_ms(self._clock.now_ms()),
         )
-        return attempt_limits.limit_ms(waiting)
+        return attempt_timeouts.deadline_ms(waiting)
 
     def _stalled(
         self, call: call_module.Call, attempt: attempts.Attempt
--- a/src/marlramp/direct/fleet/limit_sync.py
+++ b/src/marlramp/direct/fleet/limit_sync.py
@@ -88,14 +88,16 @@
         if answer.limit_unreadable:
             self._note_unreadable(replica_id, answer.limit_unreadable)
         if answer.limit_per_s is not None:
-            change = self.limits.note_named(
+            change = self.limits.record_limit(
                 replica_id,
                 view.born_ms,
                 answer.limit_per_s,
                 self._clock.now_ms(),
             )
         elif answer.signed and not answer.limit_unreadable:
-            change = self.limits.note_unnamed(replica_id, view.born_ms, sent_ms)
+            change = self.limits.record_no_limit(
+                replica_id, view.born_ms, sent_ms
+            )
         else:
             return
         self._note_change(replica_id, change, "answer")
@@ -112,7 +114,7 @@
     # What other entries say.
 
     def on_news(
-        self, name: str, limits: Iterable[replica_limits.LimitNews]
+        self, name: str, limits: Iterable[replica_limits.LimitUpdate]
     ) -> None:
         """Takes limits that another entry knows."""
         now_ms = self._clock.now_ms()
@@ -134,7 +136,7 @@
     ) -> None:
         """Tells an entry of limits that it may not know."""
         replica_ids = self.limits.differing(request.digests)
-        limits = self.limits.told(replica_ids, self._clock.now_ms())
+        limits = self.limits.updates_of(replica_ids, self._clock.now_ms())
         if limits:
             self._sync.send(name, fleet_messages.LimitNews(limits=limits))
 
@@ -155,7 +157,7 @@
         self.limits.tick(now_ms)
         for replica_id in self.limits.in_force():
             self._show(replica_id)
-        told = self.limits.told(self._rumours.take(now_ms), now_ms)
+        told = self.limits.updates_of(self._rumours.take(now_ms), now_ms)
         if told:
             self._sync.send_some(fleet_messages.LimitNews(limits=told))
 
@@ -163,7 +165,7 @@
         alive = self._sync.alive(members.MemberKind.ENTRY)
         count = min(FIRST_TARGETS, len(alive))
         targets = self._rng.sample([entry.vm_id for entry in alive], count)
-        limits = self.limits.told([replica_id], self._clock.now_ms())
+        limits = self.limits.updates_of([replica_id], self._clock.now_ms())
         self._sync.send_all(targets, fleet_messages.LimitNews(limits=limits))
 
     def _note_change(
@@ -181,7 +183,7 @@
             f"replica_limit_{change.value}",
             replica=replica_id,
             limit_per_s=known.per_s,
-            age_ms=round(now_ms - known.at_ms),
+            age_ms=round(now_ms - known.observed_ms),
             source=source,
         )
 
--- a/src/marlramp/direct/fleet/send_meters.py
+++ b/src/marlramp/direct/fleet/send_meters.py
@@ -12,12 +12,12 @@
 
 from marlramp import clock
 from marlramp import counters
+from marlramp.core import limiter_assignment
 from marlramp.core import members
-from marlramp.core import meter_duty
 from marlramp.core import replica_limits
 from marlramp.core import replica_table
 from marlramp.core import replica_view
-from marlramp.core import send_meter
+from marlramp.core import send_limiter
 from marlramp.direct.fleet import limit_sync
 from marlramp.direct.fleet import member_sync
 from marlramp.protocol import fleet_messages
@@ -71,7 +71,7 @@
         self._regions = regions
         self._totals = totals
         self._clock = time
-        self._meters: dict[str, send_meter.SendMeter] = {}
+        self._meters: dict[str, send_limiter.SendLimiter] = {}
         self._duties: dict[str, list[str]] = {}
         self._seen_changes = -1
         self._alive = 1
@@ -109,12 +109,12 @@
             limit.pending -= 1
         now_ms = self._clock.now_ms()
         if reply is None:
-            limit.ask_ms = now_ms + NO_METER_PAUSE_MS
+            limit.reserve_from_ms = now_ms + NO_METER_PAUSE_MS
             self._count("no_meter")
             return None
         limit.next_ms = now_ms + reply.next_ms
         if reply.wait_ms is None:
-            limit.ask_ms = now_ms + max(PAUSE_MIN_MS, reply.pause_ms)
+            limit.reserve_from_ms = now_ms + max(PAUSE_MIN_MS, reply.pause_ms)
             self._count("denied")
         else:
             self._count("reserved")
@@ -142,7 +142,7 @@
         self, view: replica_view.ReplicaView, wait_max_ms: float
     ) -> fleet_messages.SendRequest | None:
         now_ms = self._clock.now_ms()
-        told = self._known.limits.told([view.replica.replica_id], now_ms)
+        told = self._known.limits.updates_of([view.replica.replica_id], now_ms)
         if not told:
             return None
         return fleet_messages.SendRequest(
@@ -153,7 +153,7 @@
         """Returns the entries that reserve, those that fell silent last."""
         horizon_ms = self._clock.now_ms() - SILENT_MS
         return sorted(
-            self.meters_of(view),
+            self.limiters_of(view),
             key=lambda name: self._silent.get(name, float("-inf")) > horizon_ms,
         )
 
@@ -198,7 +198,7 @@
         rate = self._rate(message.limit.replica_id)
         if rate is not None:
             meter = self._meter(message.limit.replica_id, rate)
-            meter.note(self._clock.now_ms(), rate)
+            meter.record_reservation(self._clock.now_ms(), rate)
 
     def tick(self) -> None:
         """Follows the members; drops what belongs to limits that have ended."""
@@ -217,7 +217,7 @@
     ) -> fleet_messages.SendReply:
         replica_id = request.limit.replica_id
         now_ms = self._clock.now_ms()
-        told = self._known.limits.told([replica_id], now_ms)
+        told = self._known.limits.updates_of([replica_id], now_ms)
         limit = told[0] if told else None
         rate = self._rate(replica_id)
         if rate is None:
@@ -241,12 +241,12 @@
         )
 
     def _tell_others(
-        self, replica_id: str, limit: replica_limits.LimitNews | None
+        self, replica_id: str, limit: replica_limits.LimitUpdate | None
     ) -> None:
         view = self._table.get(replica_id)
         if view is None or limit is None:
             return
-        others = [n for n in self.meters_of(view) if n != self._own.vm_id]
+        others = [n for n in self.limiters_of(view) if n != self._own.vm_id]
         self._sync.send_all(others, fleet_messages.SendReserved(limit=limit))
 
     def _pause_ms(self, name: str) -> float:
@@ -264,7 +264,7 @@
     def _own(self) -> members.Member:
         return self._sync.roster.own.member
 
-    def meters_of(self, view: replica_view.ReplicaView) -> list[str]:
+    def limiters_of(self, view: replica_view.ReplicaView) -> list[str]:
         """Returns the VMs of the entries that reserve, the first one first."""
         replica_id = view.replica.replica_id
         if self._sync.roster.changes != self._seen_changes:
@@ -280,7 +280,7 @@
         entries = [entry for entry in alive if entry not in leaving]
         if self._sync.roster.own.state is not members.MemberState.LEAVING:
             entries.append(self._own)
-        return meter_duty.meters_of(
+        return limiter_assignment.limiters_of(
             view.replica.replica_id,
             view.replica.data_centre,
             entries,
@@ -292,17 +292,19 @@
         per_s = self._known.limits.per_s(replica_id)
         if per_s is None:
             return None
-        return send_meter.rate_here(per_s, self._alive, self._entries_known)
+        return send_limiter.partition_rate(
+            per_s, self._alive, self._entries_known
+        )
 
-    def _meter(self, replica_id: str, rate: float) -> send_meter.SendMeter:
+    def _meter(self, replica_id: str, rate: float) -> send_limiter.SendLimiter:
         meter = self._meters.get(replica_id)
         if meter is None:
-            meter = send_meter.SendMeter(self._clock.now_ms(), rate)
+            meter = send_limiter.SendLimiter(self._clock.now_ms(), rate)
             self._meters[replica_id] = meter
         return meter
 
     def _take_limit(
-        self, name: str, limit: replica_limits.LimitNews | None
+        self, name: str, limit: replica_limits.LimitUpdate | None
     ) -> None:
         if limit is not None:
             self._known.on_news(name, [limit])
--- a/src/marlramp/experiments/overload.py
+++ b/src/marlramp/experiments/overload.py
@@ -16,7 +16,7 @@
 from marlramp import errors
 from marlramp import ids
 from marlramp.core import admission
-from marlramp.core import caller_waits
+from marlramp.core import caller_wait_estimate
 from marlramp.core import catalog
 from marlramp.core import cells
 from marlramp.core import fleet
@@ -95,7 +95,7 @@
         self.table.sync(known, clock.Millis(now_ms))
         self.loads = peer_loads.PeerLoads(self.table)
         self.news = peer_loads.LoadNews(self.table)
-        self.waits = caller_waits.CallerWaits(TIMEOUT_MS)
+        self.waits = caller_wait_estimate.CallerWaitEstimate(TIMEOUT_MS)
         self.places = upstream_choice.Places({_data_centre(region)})
 
 
@@ -222,7 +222,7 @@
         request = admission.Request(
             wanted=wanted,
             elapsed_ms=entry.waits.spent_ms(left_ms),
-            stays_ms=min(left_ms, GAP_MAX_MS),
+            wait_max_ms=min(left_ms, GAP_MAX_MS),
             objective_ms=OBJECTIVE_MS,
             begun=self._plan.policy is overload_plan.Policy.SEND_ALL,
         )
--- a/tests/direct/calls/test_forwarder.py
+++ b/tests/direct/calls/test_forwarder.py
@@ -435,7 +435,7 @@
         await asyncio.sleep(0.6)
         view = entry.table.get("i-0")
         assert view is not None
-        assert view.availability.opens(entry.time.now_ms())
+        assert view.availability.may_send(entry.time.now_ms())
 
     run_entry(use, pausing.serve, sound.serve)
 
@@ -457,7 +457,7 @@
         ) -> http1_client.ReplicaConnection:
             if to_port == port:
                 await asyncio.sleep(0.1)
-                view.availability.note_pause(3_000.0, 0.0, time.now_ms())
+                view.availability.record_pause(3_000.0, 0.0, time.now_ms())
             return await connect(host, to_port, time)
 
         monkeypatch.setattr(http1_client, "connect", connect_late)
@@ -528,7 +528,7 @@
     async def use(entry: conftest.Entry) -> None:
         view = entry.table.get("i-1")
         assert view is not None
-        view.availability.note_pause(300.0, 0.0, entry.time.now_ms())
+        view.availability.record_pause(300.0, 0.0, entry.time.now_ms())
         answer = await entry.call(path, wait_ms=1_500)
         assert status_of(answer) == 200
         assert b"id: 6" in answer or b"ok" in answer
@@ -547,7 +547,7 @@
         (view,) = entry.table
         now_ms = entry.time.now_ms()
         for _ in range(6):
-            view.availability.note_refused(now_ms, now_ms)
+            view.availability.record_refusal(now_ms, now_ms)
         assert status_of(await entry.call("/safe/x")) == 200
         assert len(replica.seen) == 1
 
--- a/tests/direct/fleet/limited_fleet.py
+++ b/tests/direct/fleet/limited_fleet.py
@@ -18,7 +18,7 @@
 from marlramp.core import catalog
 from marlramp.core import fleet
 from marlramp.core import replica_view
-from marlramp.core import send_meter
+from marlramp.core import send_limiter
 from marlramp.core import upstream_choice
 from marlramp.direct.calls import wire
 from marlramp.experiments import virtual_time
@@ -92,7 +92,7 @@
         )
         self.served = 0
         self.refused = 0
-        self._shares: dict[tuple[str, str], send_meter.SendMeter] = {}
+        self._shares: dict[tuple[str, str], send_limiter.SendLimiter] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         super().__init__(count, regions, seed, self.virtual)
 
@@ -150,7 +150,7 @@
                     limit_wait_max_ms=max(0.0, left_ms),
                 ),
                 elapsed_ms=now_ms - started_ms,
-                stays_ms=2_000.0,
+                wait_max_ms=2_000.0,
                 objective_ms=OBJECTIVE_MS,
             )
             places = upstream_choice.Places({entry.member.data_centre})
@@ -182,17 +182,17 @@
         per_s = limit.per_s
         if self.way is Way.SHARES:
             per_s /= len(self.running())
-        elif entry.limits.meters_of(view)[0] != entry.name:
-            limit.ask_ms = now_ms + 100.0
+        elif entry.limits.limiters_of(view)[0] != entry.name:
+            limit.reserve_from_ms = now_ms + 100.0
             return None
         key = (entry.name, view.replica.replica_id)
         if key not in self._shares:
-            self._shares[key] = send_meter.SendMeter(now_ms, per_s)
+            self._shares[key] = send_limiter.SendLimiter(now_ms, per_s)
         meter = self._shares[key]
         wait_ms = meter.reserve(now_ms, per_s, wait_max_ms)
         limit.next_ms = now_ms + meter.next_in_ms(now_ms, per_s)
         if wait_ms is None:
-            limit.ask_ms = now_ms + 20.0
+            limit.reserve_from_ms = now_ms + 20.0
         return wait_ms
 
     async def _send(
