--- a/src/marlramp/core/__init__.py
+++ b/src/marlramp/core/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions without input or output: typed messages and the time in and out."""
+"""Decision logic without I/O, which depends on messages and the time alone."""
--- a/src/marlramp/core/catalog.py
+++ b/src/marlramp/core/catalog.py
@@ -1,8 +1,8 @@
-"""What a process believes the platform's store holds; it only goes forward.
+"""A process's replica of the platform's store, whose revisions only increase.
 
-Every item carries the store's revision of its last change, so that changes
-read from the store and changes told by other processes merge alike: of each
-item the highest revision counts, in whatever order they arrive.
+Every item carries the store's revision of its last change, so that changes read
+from the store and changes received from other processes are merged by one rule:
+the highest revision of an item counts, in whatever order the changes arrive.
 """
 
 from __future__ import annotations
@@ -19,31 +19,34 @@
 from marlramp.core import named_versions
 
 REPLICA_RETURN_MS = 2_300.0
-"""An entry that lapsed while the store was away is back within about 2 s of
-its return if the replica lives; what is missing after that is gone."""
+"""Time after the store's last failure during which a missing replica is kept. A
+replica that is alive renews a record that expired while the store was down
+within about 2 s of the store's return; a replica whose record is still missing
+after that is gone."""
 
 TOMBSTONE_MS = 60_000.0
-"""How long a removal is remembered, to outlive changes under way."""
+"""Time for which a removal is kept, longer than changes are in transit."""
 
 
 class ConfigChange(msgspec.Struct, frozen=True, tag="config"):
-    """A configuration was accepted."""
+    """A configuration that was accepted."""
 
     revision: int
     config: fleet.FleetConfig
 
 
 class TargetChange(msgspec.Struct, frozen=True, tag="target"):
-    """New weights were named.
+    """A version of the weights that was announced.
 
     Attributes:
       revision: revision of the change.
       target: the weights.
-      ages: how long ago they were named, None if they were there at a first
-        read, so that their age is not known.
+      ages: how long ago the version was announced, None if it was already in
+        the store at a first read, so that its age is not known.
       outage_age_ms: see `named_versions.AgedVersion`.
-      earlier: versions named before it, which bind by themselves; none if it
-        was read from the store, which holds the newest alone.
+      earlier: versions announced before this one, each of which takes effect on
+        its own; empty if the change was read from the store, which holds only
+        the newest version.
     """
 
     revision: int
@@ -54,14 +57,15 @@
 
 
 class ReplicaChange(msgspec.Struct, frozen=True, tag="replica"):
-    """A replica's entry was written, or removed.
+    """A replica's record that was written or removed.
 
     Attributes:
       revision: revision of the change.
-      replica_id: the replica.
-      replica: its entry, None if there is none any more.
-      unreadable: whether there is one that names no replica. It did not lapse,
-        so that no entry is to be expected back.
+      replica_id: id of the replica.
+      replica: record of the replica, None if it was removed or is unreadable.
+      unreadable: whether the store holds a record that does not decode to a
+        replica. The record did not expire, so that the replica is not expected
+        to return.
     """
 
     revision: int
@@ -85,19 +89,20 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """Changes and the revision up to which they are complete."""
+    """Changes and the store's revision up to which they are complete."""
 
     revision: int
     changes: list[Change]
 
 
 class KnownTarget(msgspec.Struct):
-    """Weights to be served.
+    """Weights of one model that are to be served.
 
     Attributes:
       target: the newest weights.
-      revision: revision of the change that named them.
-      named: versions named so far, the newest last; each binds by itself.
+      revision: revision of the change that announced the newest weights.
+      named: versions announced so far, the newest last; each takes effect on
+        its own.
     """
 
     target: fleet.WeightsTarget
@@ -106,19 +111,20 @@
 
     @property
     def named_ms(self) -> float | None:
-        """From when the newest version's time may count, None if not known."""
+        """When the newest version's time starts to count, None if not known."""
         return self.named[-1].counts_from_ms
 
     @property
     def named_by_ms(self) -> float | None:
-        """By when the newest version was named, None if not known."""
+        """By when the newest version was announced, None if not known."""
         return self.named[-1].named_by_ms
 
     def binds_first_ms(self, version: int) -> float | None:
-        """Returns from when the time of the next newer version may count.
+        """Returns when the time of the next newer version starts to count.
 
         Returns:
-          None if that is not known, or there is no newer one than `version`.
+          The reading, None if it is not known or no version is newer than
+          `version`.
         """
         for named in self.named:
             if named.version > version:
@@ -127,14 +133,15 @@
 
 
 class KnownReplica(msgspec.Struct):
-    """A listed replica.
+    """A replica that is or was listed.
 
     Attributes:
-      replica: its entry, None once it was removed.
-      revision: revision of that entry.
-      last: the last entry that there was.
-      missing_ms: since when the entry is missing though it may come back.
-      removed_ms: when it was taken as gone.
+      replica: record of the replica, None once the record was removed.
+      revision: revision of the record or of its removal.
+      last: the last readable record of the replica.
+      missing_ms: since when the record has been missing while the replica may
+        still return, None if it is not missing.
+      removed_ms: when the replica was considered gone, None if it was not.
     """
 
     replica: fleet.Replica | None
@@ -148,13 +155,13 @@
     """Configuration, weights targets and replicas known to this process."""
 
     def __init__(self) -> None:
-        """Starts knowing nothing."""
+        """Starts empty, at revision 0."""
         self.revision = 0
         self.config: fleet.FleetConfig | None = None
         self.config_revision = 0
         self.targets: dict[str, KnownTarget] = {}
         self._replicas: dict[str, KnownReplica] = {}
-        self._store_trouble_ms = float("-inf")
+        self._store_failed_ms = float("-inf")
         self._outage = named_versions.Outage()
         self._knew_before = False
 
@@ -164,19 +171,19 @@
         return 0 if self.config is None else self.config.version
 
     def replicas(self) -> list[fleet.Replica]:
-        """Returns the replicas that are listed or may come back.
+        """Returns the replicas that are listed or may return.
 
-        Of two at one address only the one written last lives: the other has
-        crashed and its entry has not lapsed yet. Sending there cost 216 of
-        4,080 requests a refusal with 421 in the seconds after all engines had
-        lost power.
+        Of two replicas at one address only the one written last is alive: the
+        other one has crashed and its record has not expired yet. Requests sent
+        to crashed replicas were rejected with status 421 in the seconds after
+        all engines had lost power (216 of 4,080 requests).
         """
         newest: dict[str, KnownReplica] = {}
         for known in self._replicas.values():
             if known.removed_ms is not None or known.last is None:
                 continue
-            # An entry of a service that nobody configured hides no replica
-            # that has the same address.
+            # A record of a service that is not configured must not hide a
+            # replica at its address.
             if not self._is_configured(known.last.service_id):
                 continue
             other = newest.get(known.last.address)
@@ -191,29 +198,29 @@
         return any(service.service_id == service_id for service in services)
 
     def replica(self, replica_id: str) -> fleet.Replica | None:
-        """Returns a replica that is listed or may come back."""
+        """Returns a replica that is listed or may return, otherwise None."""
         known = self._replicas.get(replica_id)
         if known is None or known.removed_ms is not None:
             return None
         return known.last
 
     def store_failed(self, now_ms: clock.Millis) -> None:
-        """Records that the store is not to be relied on now."""
-        self._store_trouble_ms = now_ms
+        """Records that the store is unreliable at `now_ms`."""
+        self._store_failed_ms = now_ms
 
     def store_down(
         self, bound_ms: float, sign_ms: float, known_ms: float | None = None
     ) -> None:
         """Records a sign that the store serves no entry.
 
-        The time within which a version must be in force counts only while
-        the store serves, so that versions that don't bind yet start anew:
-        engines on the old one need not stand idle meanwhile.
+        The time within which a version must be in force counts only while the
+        store serves. The time of versions that have not taken effect restarts,
+        so that engines on the old version need not be idle meanwhile.
 
         Args:
-          bound_ms: time after its naming from which a version binds.
-          sign_ms: reading at which it still served none.
-          known_ms: when that was known, None for at once.
+          bound_ms: time from a version's announcement until it takes effect.
+          sign_ms: reading at which the store still served no entry.
+          known_ms: when the reading became known, None for immediately.
         """
         self._outage.note(bound_ms, sign_ms, known_ms)
         for known in self.targets.values():
@@ -225,21 +232,22 @@
         now_ms: clock.Millis,
         hearing: event_time.Hearing | None = None,
     ) -> list[Change]:
-        """Takes changes in any order; returns those that were new.
+        """Applies changes in any order; returns those that were new.
 
         Args:
           changes: the changes.
           now_ms: the time.
-          hearing: how they were heard of, None if their ages are as of now.
+          hearing: when the changes were sent and received, None if their ages
+            are as of `now_ms`.
         """
         hearing = hearing or event_time.Hearing(now_ms, now_ms)
         self._knew_before = self.config is not None or bool(self.targets)
-        return [c for c in changes if self._apply_one(c, hearing)]
+        return [c for c in changes if self._apply_change(c, hearing)]
 
     def aged_change(
         self, change: TargetChange, now_ms: clock.Millis
     ) -> TargetChange:
-        """Returns a change that was taken, with all ages as of now."""
+        """Returns a change that was applied, with all ages as of `now_ms`."""
         model, version = change.target.model, change.target.version
         aged = [
             named.aged(model, now_ms) for named in self.targets[model].named
@@ -258,7 +266,7 @@
     def aged_versions(
         self, now_ms: clock.Millis
     ) -> list[named_versions.AgedVersion]:
-        """Returns the versions named of all models, to be told now."""
+        """Returns the versions of all models, with ages as of `now_ms`."""
         return [
             named.aged(model, now_ms)
             for model, known in self.targets.items()
@@ -270,33 +278,35 @@
         versions: Iterable[named_versions.AgedVersion],
         hearing: event_time.Hearing,
     ) -> None:
-        """Takes what another process knows of when versions were named.
+        """Merges the ages of versions that another process reported.
 
         Args:
-          versions: the versions; those newer than what is known here are left
-            to the news of them.
-          hearing: how that was heard of.
+          versions: the versions. Versions newer than the known target are
+            ignored, since a change announces them.
+          hearing: when the ages were sent and received.
         """
         for aged in versions:
             known = self.targets.get(aged.model)
             if known is None or aged.version > known.target.version:
                 continue
-            heard = self._heard(
+            heard = self._dated_version(
                 aged.version, aged.ages, aged.outage_age_ms, hearing
             )
-            known.named = self._learnt(known.named, heard)
+            known.named = self._merged(known.named, heard)
 
     def advance(self, revision: int) -> None:
-        """Records that all changes up to `revision` were applied."""
+        """Records that all changes up to `revision` have been applied."""
         self.revision = max(self.revision, revision)
 
     def take_snapshot(
         self, snapshot: Snapshot, now_ms: clock.Millis
     ) -> list[Change]:
-        """Takes all that the store holds; what is missing there was removed.
+        """Applies a complete read of the store.
+
+        A replica that is missing in the snapshot was removed from the store.
 
         Returns:
-          The changes that were new, removals among them.
+          The changes that were new, including removals.
         """
         changes = list(snapshot.changes)
         listed = {c.replica_id for c in changes if isinstance(c, ReplicaChange)}
@@ -313,7 +323,12 @@
     def changes_after(
         self, revision: int, now_ms: clock.Millis
     ) -> list[Change]:
-        """Returns the current form of every item that changed later."""
+        """Returns the current form of every item that changed later.
+
+        Args:
+          revision: revision after which the items changed.
+          now_ms: the time as of which ages are given.
+        """
         changes: list[Change] = []
         if self.config is not None and self.config_revision > revision:
             changes.append(ConfigChange(self.config_revision, self.config))
@@ -334,13 +349,13 @@
         return changes
 
     def tick(self, now_ms: clock.Millis) -> list[str]:
-        """Takes replicas as gone whose entries stayed away.
+        """Removes replicas whose records did not return in time.
 
         Returns:
-          Ids of the replicas that were taken as gone.
+          Ids of the replicas that are considered gone now.
         """
         gone = []
-        trusted_ms = self._store_trouble_ms + REPLICA_RETURN_MS
+        trusted_ms = self._store_failed_ms + REPLICA_RETURN_MS
         for replica_id, known in list(self._replicas.items()):
             if known.missing_ms is not None and now_ms >= trusted_ms:
                 known.missing_ms = None
@@ -353,7 +368,9 @@
                 del self._replicas[replica_id]
         return gone
 
-    def _apply_one(self, change: Change, hearing: event_time.Hearing) -> bool:
+    def _apply_change(
+        self, change: Change, hearing: event_time.Hearing
+    ) -> bool:
         match change:
             case ConfigChange():
                 return self._apply_config(change)
@@ -378,43 +395,48 @@
         known = self.targets.get(target.model)
         named = [] if known is None else known.named
         is_stale = known is not None and change.revision < known.revision
-        for heard in self._heard_all(change, hearing):
-            # News of an older version may come after those of a newer one, and
-            # it binds sooner; a stale read tells of it without its age.
+        for heard in self._dated_versions(change, hearing):
+            # A change of an older version may arrive after that of a newer one,
+            # and the older version takes effect sooner. A stale read gives the
+            # older version without its age and is ignored.
             if not is_stale or heard.named is not None:
-                named = self._learnt(named, heard)
+                named = self._merged(named, heard)
         if known is not None and change.revision <= known.revision:
             known.named = named
             return False
         self.targets[target.model] = KnownTarget(target, change.revision, named)
         return True
 
-    def _heard_all(
+    def _dated_versions(
         self, change: TargetChange, hearing: event_time.Hearing
     ) -> list[named_versions.NamedVersion]:
-        """Returns the versions that a change tells of."""
+        """Returns all versions of a change, the oldest first."""
         version = change.target.version
         heard = [
-            self._heard(each.version, each.ages, each.outage_age_ms, hearing)
+            self._dated_version(
+                each.version, each.ages, each.outage_age_ms, hearing
+            )
             for each in change.earlier
             if each.version < version
         ]
         heard.append(
-            self._heard(version, change.ages, change.outage_age_ms, hearing)
+            self._dated_version(
+                version, change.ages, change.outage_age_ms, hearing
+            )
         )
         return heard
 
-    def _heard(
+    def _dated_version(
         self,
         version: int,
         ages: event_time.Ages | None,
         outage_age_ms: float | None,
         hearing: event_time.Hearing,
     ) -> named_versions.NamedVersion:
-        """Returns a version that was heard of, as it counts here.
+        """Returns a received version, dated by the own clock.
 
-        A process that knew the store before it went down counts a version of
-        unknown age from the end of that outage.
+        If its age is not known and this process knew the store before an
+        outage, the version's time counts from the end of that outage.
         """
         named = None
         if ages is not None and ages.is_sound:
@@ -430,7 +452,7 @@
             version, named, outage_ms, outage_told
         )
 
-    def _learnt(
+    def _merged(
         self,
         versions: list[named_versions.NamedVersion],
         heard: named_versions.NamedVersion,
@@ -451,7 +473,7 @@
             return True
         last = None if known is None or change.unreadable else known.last
         item = KnownReplica(None, change.revision, last)
-        if now_ms < self._store_trouble_ms + REPLICA_RETURN_MS and last:
+        if now_ms < self._store_failed_ms + REPLICA_RETURN_MS and last:
             item.missing_ms = now_ms
         else:
             item.removed_ms = now_ms
@@ -462,7 +484,7 @@
 def _is_earlier_start(
     replica: fleet.Replica | None, known: KnownReplica | None
 ) -> bool:
-    """Returns whether an entry is of a start before the one that is known."""
+    """Returns whether a record is from an earlier start than the known one."""
     if replica is None or known is None or known.last is None:
         return False
     if replica.born_ms is None or known.last.born_ms is None:
--- a/src/marlramp/core/cells.py
+++ b/src/marlramp/core/cells.py
@@ -1,10 +1,11 @@
 """Division of entries and engines into cells.
 
-The entries of a region are divided into equal cells, and each engine belongs
-to one cell of its region. Entries of one cell choose among its engines first
-and tell one another what they have under way there, so that whoever shares an
-engine also knows of the others. What each entry tells and hears then depends
-on the size of a cell, not on that of the fleet.
+The entries of a region are divided into cells of equal size, and each engine
+belongs to one cell of its region. Entries of one cell prefer its engines and
+report to each other the requests that they have in progress there, so that
+entries that share an engine know each other's load. The traffic that each entry
+sends and receives therefore depends on the size of a cell, not on the size of
+the fleet.
 """
 
 from __future__ import annotations
@@ -19,18 +20,20 @@
 from marlramp.core import rendezvous
 
 CELL_MAX = 16
-"""Entries of a cell: each of them costs every other 2 kB/s while an entry
-takes a hundred requests a second."""
+"""Maximum number of entries of a cell: each costs every other entry of the cell
+2 kB/s while an entry receives 100 requests per second."""
 
 
 class Cell(msgspec.Struct, frozen=True):
     """Entries that share engines.
 
     Attributes:
-      name: the same at every entry that knows the same members.
-      region: its region.
-      entries: VMs of its entries, in an order that every entry computes alike.
-      agents: VMs of the agents beside its engines.
+      name: name of the cell; all entries that know identical members compute
+        identical names.
+      region: region of the cell.
+      entries: VMs of the cell's entries, in an order that all entries that know
+        identical members compute identically.
+      agents: VMs of the agents beside the cell's engines.
     """
 
     name: str
@@ -40,7 +43,7 @@
 
 
 class Cells:
-    """All cells, as one entry computes them from the members it knows."""
+    """All cells, as one entry computes them from the members that it knows."""
 
     def __init__(
         self,
@@ -48,12 +51,13 @@
         agents: Iterable[members.Member],
         regions: Mapping[str, str],
     ) -> None:
-        """Divides the members.
+        """Divides the members into cells.
 
         Args:
-          entries: entries that take part.
-          agents: agents that take part.
-          regions: region of each data centre.
+          entries: entries that participate.
+          agents: agents that participate.
+          regions: region of each data centre; a data centre without one counts
+            as a region of its own.
         """
         cells = _divide(_by_region(entries, regions))
         self.all = _assign(cells, _by_region(agents, regions))
@@ -65,29 +69,29 @@
         }
 
     def of_entry(self, vm_id: str) -> Cell | None:
-        """Returns the cell of an entry, None if it takes no part."""
+        """Returns the cell of an entry, None if it does not participate."""
         return self._of_entry.get(vm_id)
 
     def of_agent(self, vm_id: str) -> Cell | None:
-        """Returns the cell of an agent, None if it takes no part."""
+        """Returns the cell of an agent, None if it belongs to no cell."""
         return self._of_agent.get(vm_id)
 
 
 def _by_region(
-    found: Iterable[members.Member], regions: Mapping[str, str]
+    group: Iterable[members.Member], regions: Mapping[str, str]
 ) -> dict[str, list[str]]:
     names: dict[str, list[str]] = {}
-    for member in found:
+    for member in group:
         region = regions.get(member.data_centre, member.data_centre)
         names.setdefault(region, []).append(member.vm_id)
     return names
 
 
 def _divide(entries: Mapping[str, Collection[str]]) -> list[Cell]:
-    """Returns the cells of each region, whose sizes differ by one at most.
+    """Returns the cells of each region, whose sizes differ by at most one.
 
-    One entry more or less moves at most one entry between two cells, unless
-    the number of cells changes.
+    Adding or removing an entry moves at most one entry between two cells,
+    unless the number of cells changes.
     """
     cells = []
     for region in sorted(entries):
@@ -104,9 +108,10 @@
 def _assign(
     cells: list[Cell], agents: Mapping[str, Collection[str]]
 ) -> list[Cell]:
-    """Returns the cells with their agents, evenly within each region.
+    """Returns the cells with their agents, balanced within each region.
 
-    Agents of a region without entries go to cells of all others.
+    Agents of a region without entries are divided among the cells of all other
+    regions.
     """
     assigned: dict[str, list[str]] = {cell.name: [] for cell in cells}
     for region, vm_ids in agents.items():
--- a/src/marlramp/core/event_time.py
+++ b/src/marlramp/core/event_time.py
@@ -1,12 +1,12 @@
-"""When an event in another process happened, as far as is known here.
-
-No two processes share a clock, and no constant bounds how long a message is on
-its way. So what is known of such an event is an interval of readings of the
-own clock. An answer tells how things were at some moment after its question
-was sent: however long it took, the reading at which the own question was sent
-bounds what the answer tells. A bound that must not be kept too late runs from
-the early end of the interval, a wait that must not be too short from the late
-one.
+"""Times of events in other processes, as intervals of the own clock.
+
+No two processes share a clock, and no constant bounds the latency of a
+message. What a process knows about a remote event is therefore an interval of
+readings of its own clock. A response describes a state at some moment after its
+request was sent: however long the exchange took, the reading at which the
+request was sent is a lower bound for the time of that state. A deadline that
+must not be missed counts from the early end of the interval; a wait that must
+not be too short counts from the late end.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 
 
 class Ages(msgspec.Struct, frozen=True, array_like=True):
-    """How long ago an event was, as one process tells another.
+    """Bounds on the age of an event, as one process sends them to another.
 
     Attributes:
-      least_ms: it was at least so long ago.
-      most_ms: it was at most so long ago, infinite if that is not known.
-      assumed: whether that rests on a longest way that was assumed.
+      least_ms: minimum age of the event.
+      most_ms: maximum age of the event, infinite if it is not known.
+      assumed: whether the maximum age rests on an assumed maximum path latency.
     """
 
     least_ms: float
@@ -31,17 +31,17 @@
 
     @property
     def is_sound(self) -> bool:
-        """Whether they are ages at all."""
+        """Whether the bounds are non-negative and in order."""
         return 0.0 <= self.least_ms <= self.most_ms
 
 
 class EventTime(msgspec.Struct, frozen=True):
-    """Between which readings of the own clock an event happened.
+    """Readings of the own clock between which an event happened.
 
     Attributes:
-      earliest_ms: it did not happen before.
-      latest_ms: it did not happen later.
-      assumed: whether the early end rests on a longest way that was assumed.
+      earliest_ms: the event did not happen before this reading.
+      latest_ms: the event did not happen after this reading.
+      assumed: whether `earliest_ms` rests on an assumed maximum path latency.
     """
 
     earliest_ms: float
@@ -50,28 +50,28 @@
 
     @property
     def doubt_ms(self) -> float:
-        """How far the two ends are apart."""
+        """Width of the interval in milliseconds."""
         return self.latest_ms - self.earliest_ms
 
     def ages(self, now_ms: clock.Millis) -> Ages:
-        """Returns the same as ages, to be told now."""
+        """Returns the interval as ages, to be sent at `now_ms`."""
         return Ages(
             now_ms - self.latest_ms, now_ms - self.earliest_ms, self.assumed
         )
 
     def narrowed(self, other: EventTime) -> EventTime:
-        """Returns what this and another word on the same event allow.
+        """Returns the intersection with another interval for this event.
 
-        Two that exclude each other can't both be right; then the one that has
-        the event earlier holds. An early end that was assumed gives way to
-        one that was not. Of two that were assumed the earlier one holds: the
-        other may rest on a way that was longer than assumed.
+        If the intervals are disjoint, one of them is wrong, and the earlier one
+        is returned. An early end that rests on an assumption is replaced by one
+        that does not. Of two assumed early ends the earlier one is kept,
+        because the path of the later one may have taken longer than assumed.
         """
         latest_ms = min(self.latest_ms, other.latest_ms)
         if self.assumed is not other.assumed:
-            shown = other if self.assumed else self
+            proven = other if self.assumed else self
             return EventTime(
-                shown.earliest_ms, max(shown.earliest_ms, latest_ms)
+                proven.earliest_ms, max(proven.earliest_ms, latest_ms)
             )
         if self.assumed:
             earliest_ms = min(self.earliest_ms, other.earliest_ms)
@@ -85,12 +85,12 @@
 
 
 class Hearing(msgspec.Struct, frozen=True):
-    """How this process heard of something that has an age.
+    """Readings of the own clock between which an age was sent and received.
 
     Attributes:
-      after_ms: reading after which the age was told.
-      now_ms: reading at which it was heard.
-      assumed: whether the first rests on a longest way that was assumed.
+      after_ms: reading after which the sender computed the age.
+      now_ms: reading at which this process received the age.
+      assumed: whether `after_ms` rests on an assumed maximum path latency.
     """
 
     after_ms: float
@@ -98,7 +98,7 @@
     assumed: bool = False
 
     def dated(self, ages: Ages) -> EventTime:
-        """Returns when that happened."""
+        """Returns when an event of the received ages happened."""
         return EventTime(
             self.after_ms - ages.most_ms,
             self.now_ms - ages.least_ms,
@@ -107,10 +107,10 @@
 
 
 def news(way_max_ms: float, now_ms: clock.Millis) -> Hearing:
-    """Returns how something was heard of without a question.
+    """Returns the receipt of a message that was sent without a request.
 
     Args:
-      way_max_ms: longest time that it is assumed to have been on its way.
-      now_ms: the time.
+      way_max_ms: assumed maximum path latency of the message.
+      now_ms: the time at which the message arrived.
     """
     return Hearing(now_ms - way_max_ms, now_ms, assumed=True)
--- a/src/marlramp/core/fleet.py
+++ b/src/marlramp/core/fleet.py
@@ -1,7 +1,7 @@
-"""What an entry needs to know of the fleet: routes, customers and replicas.
+"""Types that describe the fleet to an entry: routes, customers and replicas.
 
-These are the product's own types. An adapter of a platform decodes what that
-platform publishes into them; nothing else reads the platform's documents.
+The types do not depend on a platform. A platform adapter decodes the documents
+that its platform publishes into them; no other code reads those documents.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 from marlramp import ids
 
 FIRST_VERSION = 1
-"""Version of the weights in force until another is named; engines that are
-added hold none at all."""
+"""Version of the weights that is in force until another one is announced. An
+engine that is added later starts without any weights."""
 
 
 class RouteKind(enum.Enum):
-    """What may be repeated of the requests of a route."""
+    """Kind of a route's requests, which determines whether they are retried."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -26,7 +26,7 @@
 
 
 class ServiceShare(msgspec.Struct, frozen=True):
-    """One target of a route and its weight among the route's targets."""
+    """A target service of a route and its weight among the route's targets."""
 
     service_id: ids.ServiceId
     weight: float
@@ -36,18 +36,18 @@
     """How requests of one host and path prefix are handled.
 
     Attributes:
-      name: name given by the operator.
-      host: host that callers ask for, in lower case.
+      name: name that the operator gave to the route.
+      host: host of the request, in lower case.
       path_prefix: prefix of the path, with a slash at both ends.
-      kind: what may be repeated.
+      kind: whether requests are idempotent, not idempotent, or streaming.
       targets: services that run the requests, with their weights.
-      timeout_ms: longest time a request is kept waiting.
+      timeout_ms: longest time that a request may wait.
       objective_ms: time to the answer, or to a stream's first event, within
-        which the answer has its full worth.
+        which the answer has its full value.
       pause_objective_ms: longest pause between events of a stream.
-      priority: rank among routes, 0 first.
-      attempts_max: replicas to which one request may be sent.
-      public: whether no key is needed.
+      priority: rank among routes, where 0 is the highest.
+      attempts_max: maximum number of replicas that one request may be sent to.
+      public: whether requests need no key.
       resumable: whether a stream may be continued at another replica.
     """
 
@@ -66,33 +66,34 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request may run more than once."""
+        """Whether a request may be run more than once."""
         if self.kind is RouteKind.STREAMING:
             return self.resumable
         return self.kind is RouteKind.IDEMPOTENT
 
     @property
     def streaming(self) -> bool:
-        """Whether the answer is a series of events."""
+        """Whether the answer is a stream of events."""
         return self.kind is RouteKind.STREAMING
 
 
 class EngineSpec(msgspec.Struct, frozen=True, kw_only=True):
-    """How the model engines of a service work.
+    """Performance model of the engines of a service.
 
     Attributes:
-      model: name of the model they serve.
-      batch: requests that run at once.
-      step_ms: time of one token step.
-      per_request_ms: further time per running request and step.
-      per_context_token_ms: further time per token of context and step.
-      steps_per_pass: token steps between two looks at waiting prompts.
-      read_tokens_per_ms: prompt tokens read in a millisecond.
-      memory_tokens: tokens that fit into the memory for requests.
-      layers: layers of the model.
+      model: name of the model that the engines serve.
+      batch: maximum number of requests that run concurrently.
+      step_ms: base duration of one token step.
+      per_request_ms: additional duration of a step per running request.
+      per_context_token_ms: additional duration of a step per context token.
+      steps_per_pass: number of token steps between two checks for waiting
+        prompts.
+      read_tokens_per_ms: number of prompt tokens read per millisecond.
+      memory_tokens: number of tokens that fit into the memory for requests.
+      layers: number of layers of the model.
       load_ms: time to load all layers.
-      pieces: pieces that the weights consist of.
-      piece_bytes: size of a piece.
+      pieces: number of pieces that the weights consist of.
+      piece_bytes: size of a piece in bytes.
     """
 
     model: str
@@ -110,12 +111,13 @@
 
 
 class Service(msgspec.Struct, frozen=True, kw_only=True):
-    """One service.
+    """A service that replicas run.
 
     Attributes:
-      service_id: its name.
-      connections_max: connections that a replica accepts in all.
-      engine: how its engines work, None for a plain service.
+      service_id: name of the service.
+      connections_max: total number of connections that a replica accepts.
+      engine: performance model of the service's engines, None for a service
+        without model engines.
       origin: "host:port" of the weights if this service is their origin.
       origin_bytes_per_s: rate of the origin's link, 0 if it is not known.
     """
@@ -128,13 +130,13 @@
 
 
 class Customer(msgspec.Struct, frozen=True, kw_only=True):
-    """A customer.
+    """A customer, identified by the keys of its requests.
 
     Attributes:
-      customer_id: its id.
-      keys: the keys that its requests bear.
-      priority: its rank, 0 first, which goes before that of a route; None if
-        it has none.
+      customer_id: id of the customer.
+      keys: keys that the customer's requests carry.
+      priority: rank of the customer, where 0 is the highest; it overrides the
+        priority of a route. None if the customer has no rank.
     """
 
     customer_id: ids.CustomerId
@@ -143,7 +145,7 @@
 
 
 class CallerLimits(msgspec.Struct, frozen=True, kw_only=True):
-    """Bounds on what a caller may send and how long it may take."""
+    """Limits on the size and duration of a caller's requests."""
 
     header_bytes_max: int = 16_384
     body_bytes_max: int = 4_194_304
@@ -152,7 +154,7 @@
 
 
 class FleetConfig(msgspec.Struct, frozen=True, kw_only=True):
-    """One accepted configuration, replaced as a whole by the next."""
+    """An accepted configuration, which the next one replaces completely."""
 
     version: int
     routes: list[Route]
@@ -162,26 +164,27 @@
 
 
 class ReplicaState(enum.Enum):
-    """What a replica says of itself in the replica list."""
+    """State that a replica reports in the replica list."""
 
     HEALTHY = "healthy"
     DRAINING = "draining"
 
 
 class Replica(msgspec.Struct, frozen=True, kw_only=True):
-    """A replica as last listed.
+    """A replica as it was last listed.
 
     Attributes:
-      replica_id: its id, which it may keep when it starts again.
-      service_id: the service that it belongs to.
-      address: "host:port".
-      data_centre: where it is.
-      slots: requests that it runs at once.
-      state: whether it takes new work.
-      weights: version of the weights that all its layers hold, 0 if it holds
-        none or not all, None for a plain service.
-      born_ms: Unix time of its start, which tells two starts under one id
-        apart; None where the platform does not say.
+      replica_id: id of the replica, which may stay unchanged when it restarts.
+      service_id: service that the replica belongs to.
+      address: "host:port" of the replica.
+      data_centre: data centre of the replica.
+      slots: number of requests that the replica runs concurrently.
+      state: whether the replica accepts new work.
+      weights: version of the weights that all its layers hold, 0 if the
+        replica holds no weights or only some layers of a version, None for a
+        service without model engines.
+      born_ms: Unix time of the replica's start, which distinguishes two starts
+        under one id; None if the platform does not publish it.
     """
 
     replica_id: str
@@ -195,7 +198,7 @@
 
 
 class WeightsTarget(msgspec.Struct, frozen=True, kw_only=True):
-    """The version of a model that every replica is to serve."""
+    """The version of a model that every replica must serve."""
 
     model: str
     version: int
--- a/src/marlramp/core/lifecycle.py
+++ b/src/marlramp/core/lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of a process: starting, serving, draining, stopped."""
+"""Lifecycle of a process: starting, serving, suspended, draining, stopped."""
 
 from __future__ import annotations
 
@@ -8,7 +8,10 @@
 
 
 class Phase(enum.Enum):
-    """Phases of a process; SUSPENDED keeps running work but takes no new."""
+    """Phases of a process.
+
+    In SUSPENDED, work in progress continues but no new work is accepted.
+    """
 
     STARTING = "starting"
     SERVING = "serving"
@@ -30,8 +33,8 @@
 class Lifecycle:
     """State machine shared by agents and entries.
 
-    SIGTERM, the platform's leaving mark and an operator's order all cause
-    `drain`, from which there is no way back to serving.
+    SIGTERM, the platform's mark that the VM is leaving, and an operator's
+    command all call `drain`, after which the process cannot serve again.
     """
 
     def __init__(self) -> None:
--- a/src/marlramp/core/members.py
+++ b/src/marlramp/core/members.py
@@ -1,4 +1,4 @@
-"""Processes of the system, and what they tell of themselves and each other."""
+"""Processes of the system, and updates on their state that they exchange."""
 
 from __future__ import annotations
 
@@ -7,24 +7,28 @@
 import msgspec
 
 ALIVE_MS = 1_600.0
-"""A process that was heard this lately is alive, whatever others say of it."""
+"""A process from which this process received something within this time is
+alive, whatever other processes report."""
 
 ALIVE_TO_AGENT_MS = 3_200.0
-"""The same of an entry at an agent, which hears few entries, each rarely, and
-loses nothing by reporting to one that is down."""
+"""Time since an agent last received something from an entry within which the
+agent counts the entry as alive. It is longer than `ALIVE_MS`, since an agent
+receives messages from few entries, rarely from each, and loses nothing by
+reporting to one that is down."""
 
 
 class MemberKind(enum.Enum):
-    """What a process of the system does; numbers keep messages short."""
+    """Role of a process; the values are numbers to keep messages short."""
 
     ENTRY = 1
     AGENT = 2
 
 
 class MemberState(enum.Enum):
-    """How a process is, by itself or by those who lost it.
+    """State of a process, reported by itself or by others that suspect it.
 
-    Of two states told of one incarnation the later one here counts.
+    Of two states reported for one incarnation, the one with the higher value
+    counts.
     """
 
     STARTING = 1
@@ -38,12 +42,12 @@
     """A process of the system.
 
     Attributes:
-      vm_id: its VM.
-      kind: what it does.
-      data_centre: where it is.
-      host: IP address.
-      port: port of its links.
-      callers: "host:port" for callers of an entry, "" of an agent.
+      vm_id: VM on which the process runs.
+      kind: role of the process.
+      data_centre: data centre of the VM.
+      host: IP address of the process.
+      port: port on which the process accepts links.
+      callers: "host:port" at which an entry accepts callers, "" for an agent.
     """
 
     vm_id: str
@@ -55,13 +59,14 @@
 
 
 class MemberNews(msgspec.Struct, frozen=True, array_like=True):
-    """The state of a process, as it is passed on.
+    """An update on the state of a process, as processes forward it.
 
     Attributes:
       member: the process.
-      incarnation: raised by the process alone, at each start and whenever it
-        contradicts others; news of a higher one replace those of a lower one.
-      state: its state.
+      incarnation: number that only the process itself raises, at each start and
+        whenever it contradicts others. An update with a higher incarnation
+        replaces one with a lower incarnation.
+      state: state of the process.
     """
 
     member: Member
@@ -74,6 +79,6 @@
         return self.member.vm_id
 
     def replaces(self, other: MemberNews) -> bool:
-        """Returns whether this is newer than other news of the process."""
+        """Returns whether this is newer than another update on the process."""
         own = (self.incarnation, self.state.value)
         return own > (other.incarnation, other.state.value)
--- a/src/marlramp/core/named_versions.py
+++ b/src/marlramp/core/named_versions.py
@@ -1,7 +1,8 @@
-"""The versions of one model's weights that were named, and since when.
+"""Versions of one model's weights that were announced, and when.
 
-Each version binds by itself, some time after it was named. That time counts
-only while the platform's store serves, so it counts anew after an outage.
+Each version takes effect on its own, a fixed time after it was announced. That
+time counts only while the platform's store serves, so it restarts after an
+outage of the store.
 """
 
 from __future__ import annotations
@@ -12,22 +13,23 @@
 from marlramp.core import event_time
 
 VERSIONS_KEPT = 32
-"""Versions that are remembered, the newest ones. A version that is forgotten
-before it binds lets requests begin on older ones until the next one binds."""
+"""Maximum number of versions kept, the newest ones. If a version is dropped
+before it takes effect, requests may start on older ones until the next newer
+version takes effect."""
 
 OUTAGE_GAP_MS = 3_000.0
-"""Signs of an outage that are further apart are of two outages."""
+"""Signs of an outage that are further apart belong to two outages."""
 
 
 class AgedVersion(msgspec.Struct, frozen=True, array_like=True):
-    """A version and its age, as one process tells another.
+    """A version and its age, as one process sends them to another.
 
     Attributes:
-      model: the model.
-      version: the version.
-      ages: how long ago it was named, None if that is not known.
-      outage_age_ms: how long ago the outage was after which its time counted
-        anew, None if there was none.
+      model: name of the model.
+      version: number of the version.
+      ages: how long ago the version was announced, None if that is not known.
+      outage_age_ms: how long ago the store was last down before the version
+        took effect, which restarted its time; None if the store was not down.
     """
 
     model: str
@@ -37,14 +39,15 @@
 
 
 class NamedVersion(msgspec.Struct, frozen=True):
-    """A version and when it was named.
+    """A version and when it was announced.
 
     Attributes:
-      version: the version.
-      named: when it was named, None if it was there at a first read.
-      outage_ms: when the store was last down before it bound, None if it was
-        not.
-      outage_told: whether only others know of that outage.
+      version: number of the version.
+      named: when the version was announced, None if it was already in the store
+        at a first read, so that its age is not known.
+      outage_ms: the last reading at which the store was down before the version
+        took effect, None if the store was not down.
+      outage_told: whether only other processes observed that outage.
     """
 
     version: int
@@ -54,9 +57,9 @@
 
     @property
     def counts_from_ms(self) -> float | None:
-        """The earliest reading from which its time may count.
+        """The earliest reading from which the version's time may count.
 
-        None if nothing is known of it.
+        None if neither the announcement nor an outage is known.
         """
         if self.named is None:
             return self.outage_ms
@@ -66,11 +69,11 @@
 
     @property
     def named_by_ms(self) -> float | None:
-        """The latest reading at which it was named, None if not known."""
+        """The latest reading of the announcement, None if it is not known."""
         return self.outage_ms if self.named is None else self.named.latest_ms
 
     def aged(self, model: str, now_ms: clock.Millis) -> AgedVersion:
-        """Returns the same as ages, to be told now."""
+        """Returns the version with ages, to be sent at `now_ms`."""
         outage_age_ms = None
         if self.outage_ms is not None:
             outage_age_ms = now_ms - self.outage_ms
@@ -80,11 +83,11 @@
     def is_in_doubt(
         self, bound_ms: float, doubt_ms: float, now_ms: clock.Millis
     ) -> bool:
-        """Returns whether it matters to know better when it was named.
+        """Returns whether a more precise time of the announcement is needed.
 
         Args:
-          bound_ms: time after its naming from which it binds.
-          doubt_ms: doubt that does not matter.
+          bound_ms: time from a version's announcement until it takes effect.
+          doubt_ms: uncertainty of the announcement that is acceptable.
           now_ms: the time.
         """
         if self.named is None:
@@ -98,13 +101,13 @@
 
 
 class Outage(msgspec.Struct):
-    """The last time that the store served no entry, as far as is known.
+    """The last known outage during which the store served no entry.
 
     Attributes:
-      began_ms: by when it had begun, minus infinity if there was none: the
-        first sign of it was known then.
-      last_ms: the last reading at which it lasted.
-      bound_ms: time after its naming from which a version binds.
+      began_ms: when the first sign of the outage became known, so that the
+        outage had begun by then; minus infinity if there was none.
+      last_ms: the last reading at which the outage lasted.
+      bound_ms: time from a version's announcement until it takes effect.
     """
 
     began_ms: float = float("-inf")
@@ -113,18 +116,18 @@
 
     @property
     def known(self) -> bool:
-        """Whether there was one."""
+        """Whether an outage was observed."""
         return self.last_ms > float("-inf")
 
     def note(
         self, bound_ms: float, sign_ms: float, known_ms: float | None = None
     ) -> None:
-        """Takes a reading at which the store still served none.
+        """Records a reading at which the store served no entry.
 
         Args:
-          bound_ms: time after its naming from which a version binds.
+          bound_ms: time from a version's announcement until it takes effect.
           sign_ms: the reading.
-          known_ms: when that was known, None for at once.
+          known_ms: when the reading became known, None for immediately.
         """
         if sign_ms - self.last_ms > OUTAGE_GAP_MS:
             self.began_ms = sign_ms if known_ms is None else known_ms
@@ -132,7 +135,10 @@
         self.bound_ms = bound_ms
 
     def applied(self, version: NamedVersion) -> NamedVersion:
-        """Returns a version whose time counts anew, if it did not bind yet."""
+        """Returns a version, delayed if the outage began before it took effect.
+
+        The time of a delayed version counts from the end of the outage.
+        """
         counts_from_ms = version.counts_from_ms
         if counts_from_ms is None or not self.known:
             return version
@@ -147,14 +153,14 @@
 def learn(
     versions: list[NamedVersion], heard: NamedVersion
 ) -> list[NamedVersion]:
-    """Returns named versions, the oldest first, with one that was heard of.
+    """Returns known versions, oldest first, merged with a received one.
 
-    An outage that another process noticed counts for a version only if
-    its age was not known here.
+    An outage that another process observed applies to a version only if this
+    process did not know the version's age.
 
     Args:
-      versions: those that are known.
-      heard: the one heard of.
+      versions: the known versions.
+      heard: the received version.
     """
     merged = []
     is_known = False
@@ -178,27 +184,29 @@
     named = known.named.narrowed(heard.named)
     if known.outage_told:
         return NamedVersion(
-            known.version, named, _told_outage_ms(known, heard), True
+            known.version, named, _merged_outage_ms(known, heard), True
         )
-    # Whether an outage delayed it is judged anew if it was named earlier.
+    # If the version was announced earlier than known so far, the caller decides
+    # again whether an outage delayed it.
     earlier = named.earliest_ms < known.named.earliest_ms
     outage_ms = None if earlier else known.outage_ms
     return NamedVersion(known.version, named, outage_ms)
 
 
-def _told_outage_ms(known: NamedVersion, heard: NamedVersion) -> float | None:
-    """Returns the early end of an outage that two words tell of.
+def _merged_outage_ms(known: NamedVersion, heard: NamedVersion) -> float | None:
+    """Returns the outage reading that results from two reports of a version.
 
-    One that was assumed gives way, as that of the naming does; of two others
-    the later one holds.
+    A reading whose version has an assumed announcement is replaced by one
+    without an assumption, as in `EventTime.narrowed`. Of two assumed readings
+    the earlier one is kept, of two others the later one.
     """
     if _is_assumed(known) is not _is_assumed(heard):
         return heard.outage_ms if _is_assumed(known) else known.outage_ms
-    told_ms = [
+    reported_ms = [
         each.outage_ms for each in (known, heard) if each.outage_ms is not None
     ]
     pick = min if _is_assumed(known) else max
-    return pick(told_ms, default=None)
+    return pick(reported_ms, default=None)
 
 
 def _is_assumed(version: NamedVersion) -> bool:
--- a/src/marlramp/core/neighbours.py
+++ b/src/marlramp/core/neighbours.py
@@ -1,4 +1,4 @@
-"""Which VMs a VM opens links to, to exchange the chunks of one manifest."""
+"""Chooses the VMs with which a VM exchanges the chunks of a manifest."""
 
 from __future__ import annotations
 
@@ -16,15 +16,17 @@
 ) -> list[ids.VmId]:
     """Returns the neighbours that a VM opens links to.
 
-    The VM's successor in a ring makes the whole connected; the others are
-    drawn by rendezvous, most from the VM's own data centre. Links carry
-    chunks both ways, so a VM has about twice as many neighbours as it opens.
+    The VM's successor in a ring keeps the graph of all VMs connected. The other
+    neighbours are chosen by rendezvous hashing, most of them in the VM's own
+    data centre. Links carry chunks in both directions, so a VM has about twice
+    as many neighbours as it opens links.
 
     Args:
       vm_id: the VM.
-      manifest: what is distributed; another manifest gives other neighbours.
-      data_centres: data centre of each VM that takes part.
-      count: neighbours wanted, counting links opened from either side.
+      manifest: digest of the manifest that is distributed; different manifests
+        give different neighbours.
+      data_centres: data centre of each VM that participates.
+      count: number of neighbours wanted, counting links opened by either side.
     """
     others = [other for other in data_centres if other != vm_id]
     opened = max(2, count // 2)
@@ -44,12 +46,15 @@
 def choose_parent(
     vm_id: ids.VmId, vm_ids: Sequence[ids.VmId], children: int
 ) -> list[ids.VmId]:
-    """Returns the one neighbour in a tree, none for its root; a baseline.
+    """Returns the parent of a VM in a tree, as a baseline for comparison.
 
     Args:
       vm_id: the VM.
-      vm_ids: all VMs that take part.
-      children: children of each VM; 1 makes a chain.
+      vm_ids: all VMs that participate.
+      children: number of children of each VM; 1 makes a chain.
+
+    Returns:
+      The parent alone, or an empty list for the root.
     """
     ordered = sorted({*vm_ids, vm_id})
     position = ordered.index(vm_id)
--- a/src/marlramp/core/reader_duty.py
+++ b/src/marlramp/core/reader_duty.py
@@ -1,8 +1,8 @@
-"""Which entries watch the store.
+"""Elects the entries that watch the store.
 
-Load pattern: a store that counts and limits calls and may turn some of the
-entries away. If every entry read whenever nobody else could, all would read
-at once, stop together, and start again.
+Load pattern: a store that counts and rate-limits calls and may reject some of
+the entries. If every entry read whenever no other entry could, all would start
+reading at once, stop together, and start again.
 """
 
 from __future__ import annotations
@@ -16,31 +16,32 @@
 from marlramp.core import rendezvous
 
 READERS = 2
-"""Entries that watch the store: one more than is needed, so that the death of
-one delays nothing."""
+"""Number of entries that watch the store: one more than is needed, so that the
+crash of one causes no delay."""
 
 BEACON_MS = 400.0
-"""Between two signs of an entry that watches the store."""
+"""Interval between two beacons of an entry that watches the store."""
 
 STANDBYS = 2
-"""Entries next in order that ask the readers what the store holds, so that they
-know how old a change may be when they stand in."""
+"""Number of entries after the readers that query them for the store's revision,
+so that they know the age of a change when they take over."""
 
 READER_HEARD_MS = 1_100.0
 READER_STORE_AGE_MS = 2_200.0
-"""A reader counts as working if it was heard this lately and the store
-answered it this lately: two waits of a watch."""
+"""Maximum age of a reader's last beacon, and of the store's last response to
+the reader, for the reader to count as working. The second is two waits of a
+watch."""
 
-STANDBY_FIRST = 4
+FIRST_STANDBYS = 4
 STANDBY_STEP_MS = 100.0
 """The first four entries read as soon as no reader works, and twice as many
-after each further step: 100 entries within half a second, which leaves a
-second of the shortest bound on changes in force."""
+after each further step: 100 entries within half a second, which leaves one
+second of the shortest deadline for applying changes."""
 
 FIRST_WAIT_MS = 600.0
-"""How long an entry that starts leaves reading to the seeds: all start within
-300 ms of each other, and one that knows few others yet would take itself for
-one of the first."""
+"""Time during which an entry that starts leaves reading to the seeds. All
+entries start within 300 ms of each other, and an entry that knows few others
+yet would consider itself one of the first."""
 
 
 class _Beacon(msgspec.Struct, frozen=True):
@@ -50,7 +51,7 @@
 
 
 class ReaderDuty:
-    """Decides whether this entry watches the store."""
+    """Elects whether this entry watches the store."""
 
     def __init__(
         self,
@@ -60,22 +61,23 @@
         *,
         is_seed: bool,
     ) -> None:
-        """Has heard of no reader.
+        """Starts without any known reader.
 
         Args:
           own: VM of this entry.
-          data_centre: where it is.
+          data_centre: data centre of this entry.
           now_ms: the time.
-          is_seed: whether the others are told to greet this entry first.
+          is_seed: whether the other entries are configured to contact this
+            entry first.
         """
         self._own = own
         self._data_centre = data_centre
         self._is_seed = is_seed
         self._started_ms = now_ms
         self._beacons: dict[str, _Beacon] = {}
-        self._worked_ms: float = float("-inf")
-        self._stands_in = False
-        self._places: dict[str, str] = {}
+        self._last_working_ms: float = float("-inf")
+        self._has_taken_over = False
+        self._data_centres: dict[str, str] = {}
         self._ordered: list[str] = []
 
     def take(
@@ -86,34 +88,34 @@
         *,
         served: bool,
     ) -> None:
-        """Takes the sign of an entry that watches the store.
+        """Records the beacon of an entry that watches the store.
 
         Args:
-          vm_id: the entry.
-          store_age_ms: time since the store last answered it.
+          vm_id: VM of the entry.
+          store_age_ms: time since the store last responded to the entry.
           now_ms: the time.
-          served: whether its last call was answered.
+          served: whether the store responded to the entry's last call.
         """
         answered_ms = now_ms - store_age_ms
         self._beacons[vm_id] = _Beacon(now_ms, answered_ms, served)
         if self._works(vm_id, now_ms):
-            self._worked_ms = now_ms
+            self._last_working_ms = now_ms
         elif not any(self._works(other, now_ms) for other in self._beacons):
-            # Those that stand in need not wait for its silence.
+            # No reader works, so standbys need not wait until beacons stop.
             silent_since_ms = now_ms - READER_HEARD_MS
-            self._worked_ms = min(self._worked_ms, silent_since_ms)
+            self._last_working_ms = min(self._last_working_ms, silent_since_ms)
 
     def is_reader(
         self, others: Mapping[str, str], now_ms: clock.Millis
     ) -> bool:
         """Returns whether this entry is to watch the store.
 
-        The first in rendezvous order do. While none of those before it works,
-        any entry does, sooner the earlier it is in the order; and it goes on
-        until one before it works.
+        The first entries in rendezvous order watch the store. While no entry
+        before it works, any other entry takes over, the sooner the earlier it
+        is in the order, and continues until an entry before it works.
 
         Args:
-          others: data centre of each other entry that is there and stays.
+          others: data centre of each other entry that is alive and not leaving.
           now_ms: the time.
         """
         runs_ms = now_ms - self._started_ms
@@ -124,18 +126,21 @@
         if rank < READERS:
             return True
         if any(self._works(vm_id, now_ms) for vm_id in ordered[:rank]):
-            self._stands_in = False
-        elif not self._stands_in:
-            silent_ms = now_ms - max(self._worked_ms, self._started_ms)
-            wait_ms = READER_HEARD_MS + _standby_ms(rank)
-            self._stands_in = silent_ms >= wait_ms
-        return self._stands_in
+            self._has_taken_over = False
+        elif not self._has_taken_over:
+            silent_ms = now_ms - max(self._last_working_ms, self._started_ms)
+            wait_ms = READER_HEARD_MS + _standby_wait_ms(rank)
+            self._has_taken_over = silent_ms >= wait_ms
+        return self._has_taken_over
 
     def watched_readers(self, others: Mapping[str, str]) -> list[str]:
-        """Returns the readers that this entry is to ask, as it may stand in.
+        """Returns the readers that this entry queries as their standby.
 
         Args:
-          others: data centre of each other entry that is there and stays.
+          others: data centre of each other entry that is alive and not leaving.
+
+        Returns:
+          VMs of the readers, none if this entry is not a standby.
         """
         ordered = self._order(others)
         rank = ordered.index(self._own)
@@ -152,11 +157,11 @@
     ) -> bool:
         """Returns whether a store that fails this entry seems to fail all.
 
-        An entry that hears no other can't tell the store's failure from its
-        own.
+        An entry that receives nothing from any other entry cannot distinguish
+        a failure of the store from its own.
 
         Args:
-          others: the other entries that are there.
+          others: VMs of the other entries that are alive.
           now_ms: the time.
         """
         if not others:
@@ -170,15 +175,17 @@
     def _order(self, others: Mapping[str, str]) -> list[str]:
         """Returns all entries in the order in which they are to read.
 
-        The second one is in another data centre than the first: a data centre
-        as a whole may be cut off from the store.
+        The second entry is in another data centre than the first, since a whole
+        data centre may be partitioned from the store.
         """
-        places = {**others, self._own: self._data_centre}
-        if places != self._places:
-            self._places = places
-            ordered = rendezvous.order("store", places)
-            first = places[ordered[0]]
-            elsewhere = [name for name in ordered if places[name] != first]
+        data_centres = {**others, self._own: self._data_centre}
+        if data_centres != self._data_centres:
+            self._data_centres = data_centres
+            ordered = rendezvous.order("store", data_centres)
+            first = data_centres[ordered[0]]
+            elsewhere = [
+                name for name in ordered if data_centres[name] != first
+            ]
             if elsewhere:
                 ordered.remove(elsewhere[0])
                 ordered.insert(1, elsewhere[0])
@@ -195,9 +202,9 @@
         )
 
 
-def _standby_ms(rank: int) -> float:
-    """Returns how much longer an entry of some rank waits than the first."""
+def _standby_wait_ms(rank: int) -> float:
+    """Returns how much longer an entry waits than the one of rank 0."""
     steps = 0
-    while rank >= STANDBY_FIRST << steps:
+    while rank >= FIRST_STANDBYS << steps:
         steps += 1
     return steps * STANDBY_STEP_MS
--- a/src/marlramp/core/rendezvous.py
+++ b/src/marlramp/core/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: an order of nodes that every process computes alike."""
+"""Rendezvous hashing: every process computes an identical order of nodes."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def fraction(key: str) -> float:
-    """Returns a number from 0 up to 1 that every process computes alike."""
+    """Returns a fraction in [0, 1) that is identical in every process."""
     digest = blake3.blake3(key.encode()).digest(length=_SCORE_BYTES)
     return int.from_bytes(digest) / 256.0**_SCORE_BYTES
 
@@ -42,15 +42,19 @@
 def balanced_orders(
     keys: Sequence[str], nodes: Iterable[Node]
 ) -> list[list[Node]]:
-    """Returns an order for each key in which no node is first too often.
+    """Returns an order of the nodes for each key, with balanced first nodes.
 
-    Each node is first for at most its equal share of the keys, rounded up:
-    the one that has most work decides when all is done. Where plain orders
-    give a node more, its further keys go to the next in their orders.
+    Each node is first for at most its equal share of the keys, rounded up,
+    since the node with the most work determines when all work is done. Where
+    the plain rendezvous order gives a node more keys, each further key goes to
+    the next node in its order.
 
     Args:
-      keys: what is to be divided, in the same order everywhere.
-      nodes: who divides it; everyone who names the same gets the same orders.
+      keys: keys to divide; every process must pass them in an identical order.
+      nodes: nodes to divide the keys among, in any order.
+
+    Returns:
+      One order of all nodes for each key, identical in every process.
     """
     members = set(nodes)
     share = -(-len(keys) // max(1, len(members)))
--- a/src/marlramp/core/roster.py
+++ b/src/marlramp/core/roster.py
@@ -1,13 +1,14 @@
-"""Which processes of the system exist, kept alike by all entries.
+"""The processes of the system, replicated by all entries.
 
-News of members merge in any order, any number of times, to the same roster.
-Its members are divided into buckets, each with a digest, so that two entries
-whose rosters differ exchange only the buckets that do.
+Updates on members are idempotent and commutative: applied in any order and any
+number of times, they result in an identical roster. The members are divided
+into buckets, each with a digest, so that two entries whose rosters differ
+exchange only the buckets that differ.
 
-That a process is down is each entry's own verdict and is never passed on: an
-entry that was cut off takes all others as down, and would otherwise have the
-whole fleet believe it when the cut ends. Only suspicions are passed on, which
-the suspected process contradicts.
+Each entry decides for itself that a process is down and never forwards that
+decision. An entry that was partitioned considers all others down, and would
+otherwise convince the whole fleet of it when the partition ends. Entries
+forward only suspicions, which the suspected process contradicts.
 """
 
 from __future__ import annotations
@@ -21,27 +22,29 @@
 from marlramp.core import members
 
 BUCKETS = 16
-"""Parts of the roster that are compared by themselves: 16 digests are 150
-bytes, and one change moves a sixteenth of the roster."""
+"""Number of parts of the roster that are compared separately: 16 digests have
+150 bytes, and one change transfers a sixteenth of the roster."""
 
 SUSPECT_MS = 900.0
-"""Time in which a suspected process may contradict before it counts as down:
-long enough for the suspicion to reach it and its answer to spread."""
+"""Time within which a suspected process may contradict before it counts as
+down: long enough for the suspicion to reach the process and for its answer to
+spread."""
 
 FORGET_MS = 60_000.0
-"""How long a process that is down is remembered: its part of shared budgets
-stays unused that long, and it is looked for."""
+"""Time for which a process that is down is kept. Its share of shared budgets
+stays unused meanwhile, and other processes keep probing it."""
 
 _LOST = frozenset({members.MemberState.SUSPECT, members.MemberState.DOWN})
 
 
 class Record(msgspec.Struct):
-    """A process and what is known of it.
+    """A process and its state as this process knows it.
 
     Attributes:
-      news: its newest news.
-      since_ms: when its state was learnt.
-      heard_ms: when this process last heard it itself.
+      news: the newest update on the process.
+      since_ms: when this process learnt the update.
+      heard_ms: when this process last received something from the process
+        itself.
     """
 
     news: members.MemberNews
@@ -50,21 +53,22 @@
 
 
 class Roster:
-    """The processes known to one entry, without itself.
+    """The processes known to one entry, without the entry itself.
 
     Attributes:
-      own: what this process tells of itself.
+      own: the update that this process sends on itself.
       changes: number of changes so far.
-      doubted: processes that are down here but not to others, to be asked.
+      doubted: VMs of processes that are down here but not to other entries, and
+        that are to be probed.
     """
 
     def __init__(self, own: members.Member, incarnation: int) -> None:
-        """Knows only itself, as starting.
+        """Starts with this process alone, in state STARTING.
 
         Args:
           own: this process.
-          incarnation: its first incarnation, higher than that of any earlier
-            process on the VM.
+          incarnation: first incarnation of this process, higher than that of
+            any earlier process on its VM.
         """
         self.own = members.MemberNews(
             own, incarnation, members.MemberState.STARTING
@@ -76,15 +80,15 @@
         self._toggle(self.own)
 
     def get(self, vm_id: str) -> Record | None:
-        """Returns a process, None if it is not known."""
+        """Returns the record of a process, None if the process is not known."""
         return self._records.get(vm_id)
 
     def records(self) -> list[Record]:
-        """Returns all processes known, also those that are down."""
+        """Returns the records of all known processes, also those down."""
         return list(self._records.values())
 
     def set_own_state(self, state: members.MemberState) -> bool:
-        """Takes this process's state; returns whether it changed."""
+        """Sets the state of this process; returns whether it changed."""
         if state is self.own.state:
             return False
         self._replace_own(self.own.incarnation, state)
@@ -93,14 +97,14 @@
     def apply(
         self, news: members.MemberNews, now_ms: clock.Millis
     ) -> members.MemberNews | None:
-        """Takes news of a process that any other one tells.
+        """Applies an update on a process, whichever process reported it.
 
         Returns:
-          What is to be passed on: the news if they are new, or this process's
-          contradiction of what is said of itself; None otherwise.
+          The update to forward: the applied one if it is new, or this process's
+          contradiction of an update on itself; None otherwise.
         """
         if news.vm_id == self.own.vm_id:
-            return self._answer(news)
+            return self._contradict(news)
         if news.state is members.MemberState.DOWN:
             return None
         known = self._records.get(news.vm_id)
@@ -121,10 +125,10 @@
     def apply_direct(
         self, news: members.MemberNews, now_ms: clock.Millis
     ) -> members.MemberNews | None:
-        """Takes what a process says of itself, over a link of its own.
+        """Applies an update that a process sent on itself over its own link.
 
         Returns:
-          The news if they are to be passed on, None if all know them.
+          The update if it is to be forwarded, None if it is not new.
         """
         known = self._records.get(news.vm_id)
         if known is None:
@@ -140,7 +144,11 @@
         return news if is_new else None
 
     def heard(self, vm_id: str, now_ms: clock.Millis) -> Record | None:
-        """Records that a process was heard; returns it if it is known."""
+        """Records that a process sent something to this process.
+
+        Returns:
+          The record of the process, None if the process is not known.
+        """
         record = self._records.get(vm_id)
         if record is not None:
             record.heard_ms = now_ms
@@ -149,10 +157,13 @@
     def suspect(
         self, vm_id: str, now_ms: clock.Millis
     ) -> members.MemberNews | None:
-        """Suspects a process that did not answer; returns news to pass on.
+        """Suspects a process that did not respond.
 
-        One that is down here already stays so, and those who take it as alive
-        hear of it.
+        A process that is already down here stays down. The suspicion is
+        returned all the same, for entries that consider the process alive.
+
+        Returns:
+          The update to forward, None if the process is not known.
         """
         record = self._records.get(vm_id)
         if record is None:
@@ -165,7 +176,11 @@
         return suspected
 
     def tick(self, now_ms: clock.Millis) -> list[str]:
-        """Takes suspects as down in time; returns those forgotten."""
+        """Marks suspects as down, and removes processes that were down long.
+
+        Returns:
+          VMs of the processes that were removed.
+        """
         forgotten = []
         for vm_id, record in list(self._records.items()):
             age_ms = now_ms - record.since_ms
@@ -180,7 +195,7 @@
         return forgotten
 
     def is_alive(self, record: Record, now_ms: clock.Millis) -> bool:
-        """Returns whether a process is there, as far as is known."""
+        """Returns whether a process is alive, as far as this process knows."""
         if record.news.state is not members.MemberState.DOWN:
             return True
         return now_ms - record.heard_ms < members.ALIVE_MS
@@ -188,7 +203,7 @@
     def alive(
         self, kind: members.MemberKind, now_ms: clock.Millis
     ) -> list[members.Member]:
-        """Returns the processes of a kind that are there, by VM."""
+        """Returns the processes of a kind that are alive, ordered by VM."""
         found = [
             record.news.member
             for record in self._records.values()
@@ -197,7 +212,7 @@
         return sorted(found, key=lambda member: member.vm_id)
 
     def count(self, kind: members.MemberKind) -> int:
-        """Returns how many processes of a kind are remembered, itself too."""
+        """Returns the number of known processes of a kind, with this one."""
         known = sum(
             record.news.member.kind is kind for record in self._records.values()
         )
@@ -208,15 +223,15 @@
         return self._digests.all()
 
     def digest(self) -> int:
-        """Returns one digest of all that is known."""
+        """Returns one digest of the whole roster."""
         return self._digests.joined()
 
     def differing(self, digests: list[int]) -> list[int]:
-        """Returns the buckets that differ from those of another roster."""
+        """Returns the buckets whose digests differ from another roster's."""
         return self._digests.differing(digests)
 
     def in_buckets(self, buckets: Iterable[int]) -> list[members.MemberNews]:
-        """Returns the members of some buckets that are taken as alive."""
+        """Returns updates on members of some buckets, without lost members."""
         wanted = set(buckets)
         known = [record.news for record in self._records.values()]
         return [
@@ -242,8 +257,10 @@
         self._toggle(news)
         self.changes += 1
 
-    def _answer(self, news: members.MemberNews) -> members.MemberNews | None:
-        """Contradicts news of this process that it did not tell itself."""
+    def _contradict(
+        self, news: members.MemberNews
+    ) -> members.MemberNews | None:
+        """Contradicts an update on this process that another process issued."""
         if not news.replaces(self.own):
             return None
         self._replace_own(news.incarnation + 1, self.own.state)
@@ -258,10 +275,10 @@
         self.changes += 1
 
     def _toggle(self, news: members.MemberNews) -> None:
-        """Adds news to the digest of its bucket, or takes them out.
+        """Adds an update to the digest of its bucket, or removes it from there.
 
-        A process that is down is no part of it, since it is forgotten by each
-        entry at another time.
+        A process that is down is not part of a digest, since entries remove it
+        from their rosters at different times.
         """
         if news.state is members.MemberState.DOWN:
             return
--- a/src/marlramp/core/rumours.py
+++ b/src/marlramp/core/rumours.py
@@ -1,7 +1,8 @@
-"""News on their way to all entries, by epidemic spread.
+"""Gossip queue: updates that are on their way to all entries.
 
-Each entry passes news that are new to it on to a few others, a few times.
-Some entries are left out by chance; comparing rosters brings them the rest.
+An entry forwards each update that is new to it to a few random entries, a few
+times (epidemic dissemination). Some entries are missed by chance; they receive
+the update when rosters are compared.
 """
 
 from __future__ import annotations
@@ -13,54 +14,59 @@
 
 from marlramp import clock
 
-NewsT = TypeVar("NewsT")
+UpdateT = TypeVar("UpdateT")
 
-ROUNDS = 2
-"""Times that an entry passes one piece of news on."""
+GOSSIP_CYCLES = 2
+"""Number of gossip cycles in which an entry forwards an update."""
 
 NEAR_TARGETS = 2
 FAR_TARGETS = 1
-"""Entries that it is passed on to each time, in and outside the own region: six
-in all leave out one in four hundred (worked out); 97 of 100 entries know of a
-change after 1 s (virtual time)."""
+"""Number of entries that an update is forwarded to in each cycle, inside and
+outside the own region. Six in all miss one entry in 400, and 97 of 100 entries
+receive an update within 1 s."""
 
 BATCH_MAX = 64
-"""News in one message: some 6 kB."""
+"""Maximum number of updates in one message, which then has about 6 kB."""
 
 AGE_MAX_MS = 2_000.0
-"""News that waited this long, in an entry that was cut off, are dropped."""
+"""Updates that waited this long, in an entry that was partitioned, are
+dropped."""
 
 
-class _Rumour(msgspec.Struct, Generic[NewsT]):
-    news: NewsT
+class _Queued(msgspec.Struct, Generic[UpdateT]):
+    update: UpdateT
     queued_ms: float
-    rounds_left: int
+    cycles_left: int
 
 
-class Rumours(Generic[NewsT]):
-    """News that this entry still passes on."""
+class Rumours(Generic[UpdateT]):
+    """Updates that this entry still forwards, by subject."""
 
     def __init__(self) -> None:
-        """Starts without any."""
-        self._waiting: dict[str, _Rumour[NewsT]] = {}
+        """Starts with an empty queue."""
+        self._queued: dict[str, _Queued[UpdateT]] = {}
 
-    def add(self, about: str, news: NewsT, now_ms: clock.Millis) -> None:
-        """Passes news on, in place of older ones about the same."""
-        self._waiting[about] = _Rumour(news, now_ms, ROUNDS)
+    def add(self, subject: str, update: UpdateT, now_ms: clock.Millis) -> None:
+        """Queues an update in place of an older one on its subject."""
+        self._queued[subject] = _Queued(update, now_ms, GOSSIP_CYCLES)
 
-    def take(self, now_ms: clock.Millis) -> list[NewsT]:
-        """Returns the news of one message, the freshest first."""
+    def take(self, now_ms: clock.Millis) -> list[UpdateT]:
+        """Returns the updates for one message and counts them as forwarded.
+
+        Updates that were forwarded least often come first, and of those the
+        ones that were queued first. Expired updates are dropped.
+        """
         horizon_ms = now_ms - AGE_MAX_MS
-        for about, rumour in list(self._waiting.items()):
-            if rumour.queued_ms < horizon_ms:
-                del self._waiting[about]
+        for subject, queued in list(self._queued.items()):
+            if queued.queued_ms < horizon_ms:
+                del self._queued[subject]
         fresh_first = sorted(
-            self._waiting.items(),
-            key=lambda item: (-item[1].rounds_left, item[1].queued_ms),
+            self._queued.items(),
+            key=lambda item: (-item[1].cycles_left, item[1].queued_ms),
         )
-        taken = fresh_first[:BATCH_MAX]
-        for about, rumour in taken:
-            rumour.rounds_left -= 1
-            if rumour.rounds_left == 0:
-                del self._waiting[about]
-        return [rumour.news for _, rumour in taken]
+        batch = fresh_first[:BATCH_MAX]
+        for subject, queued in batch:
+            queued.cycles_left -= 1
+            if queued.cycles_left == 0:
+                del self._queued[subject]
+        return [queued.update for _, queued in batch]
--- a/src/marlramp/core/seen_values.py
+++ b/src/marlramp/core/seen_values.py
@@ -1,20 +1,20 @@
-"""Remembers the last value of each key, so that each is told once."""
+"""Remembers the last value of each key, so that a value is reported once."""
 
 from __future__ import annotations
 
 KEYS_MAX = 256
-"""Keys remembered; all are forgotten together once there are more."""
+"""Maximum number of keys remembered; all are cleared once there are more."""
 
 
 class SeenValues:
-    """The last value of each key."""
+    """Holds the last value of each key."""
 
     def __init__(self) -> None:
-        """Remembers none."""
+        """Starts without any key."""
         self._values: dict[str, str] = {}
 
     def is_new(self, key: str, value: str) -> bool:
-        """Takes a value; returns whether it is another than the last one."""
+        """Records a value; returns whether it differs from the last one."""
         if self._values.get(key) == value:
             return False
         if len(self._values) >= KEYS_MAX:
--- a/src/marlramp/core/store_completeness.py
+++ b/src/marlramp/core/store_completeness.py
@@ -1,7 +1,8 @@
-"""What the platform's store is known to have held in all, and when.
+"""Revisions up to which the platform's store was known complete, and when.
 
-A change that came after that came later than that reading. So what one answer
-of the store lacked tells how old a change in the next one may be.
+A change of a later revision happened after that reading. What one response of
+the store did not contain therefore bounds the age of a change in the next
+response.
 """
 
 from __future__ import annotations
@@ -14,18 +15,18 @@
 from marlramp import clock
 from marlramp.core import event_time
 
-HEARD_KEPT = 16
-"""Words of other readers that are kept, the newest ones."""
+REPORTS_KEPT = 16
+"""Maximum number of reports from other readers kept, the newest ones."""
 
 
 class Complete(msgspec.Struct, frozen=True):
-    """All that the store held at some moment.
+    """The revision that the store had reached at a reading of the own clock.
 
     Attributes:
-      revision: revision of the last change.
-      at_ms: reading at which the store had no later one, minus infinity if
-        that is not known. It is early by the way of the answer that shows it:
-        that was made after its question had been sent.
+      revision: revision of the store's last change.
+      at_ms: reading at which the store had no later change, minus infinity if
+        that is not known. The reading is the time at which the request was
+        sent; the store produced the response after that.
     """
 
     revision: int = 0
@@ -33,7 +34,7 @@
 
     @property
     def is_known(self) -> bool:
-        """Whether there is such a reading."""
+        """Whether the reading is known."""
         return not math.isinf(self.at_ms)
 
     def lacked_ms(self, revision: int) -> float:
@@ -42,39 +43,50 @@
 
 
 class StoreCompleteness:
-    """What this process knows of it, by own answers and others' words."""
+    """What this process and other readers know of the store's revisions."""
 
     def __init__(self) -> None:
-        """Knows nothing."""
+        """Starts without any known revision."""
         self.own = Complete()
-        self._heard: collections.deque[Complete] = collections.deque(
-            maxlen=HEARD_KEPT
+        self._reported: collections.deque[Complete] = collections.deque(
+            maxlen=REPORTS_KEPT
         )
 
     @property
     def latest(self) -> Complete:
-        """The latest that is known."""
-        return max([self.own, *self._heard], key=lambda each: each.at_ms)
+        """The revision with the latest reading, of this or another reader."""
+        return max([self.own, *self._reported], key=lambda each: each.at_ms)
 
-    def note_read(self, revision: int, asked_ms: float) -> None:
-        """Takes an answer that held everything up to a revision."""
-        self.own = Complete(revision, asked_ms)
+    def note_read(self, revision: int, requested_ms: float) -> None:
+        """Records a response that held all changes up to a revision.
+
+        Args:
+          revision: the revision.
+          requested_ms: when the request was sent.
+        """
+        self.own = Complete(revision, requested_ms)
 
     def note_waited(
-        self, revision: int, asked_ms: float, wait_ms: float
+        self, revision: int, requested_ms: float, wait_ms: float
     ) -> None:
-        """Takes that a watch brought nothing for the whole of its wait."""
-        self.own = Complete(revision, asked_ms + wait_ms)
+        """Records that a watch returned no change during its whole wait.
+
+        Args:
+          revision: the revision after which the watch waited for changes.
+          requested_ms: when the watch was sent.
+          wait_ms: how long the store waited for a change.
+        """
+        self.own = Complete(revision, requested_ms + wait_ms)
 
     def note_heard(self, complete: Complete) -> None:
-        """Takes what another reader knows."""
-        self._heard.append(complete)
+        """Records the revision that another reader reported."""
+        self._reported.append(complete)
 
     def ages(
         self, revision: int, now_ms: clock.Millis
     ) -> event_time.Ages | None:
         """Returns the ages of a change read now, None if they are unknown."""
-        known = [self.own, *self._heard]
+        known = [self.own, *self._reported]
         lacked_ms = max(each.lacked_ms(revision) for each in known)
         if math.isinf(lacked_ms):
             return None
--- a/src/marlramp/core/store_silence.py
+++ b/src/marlramp/core/store_silence.py
@@ -1,9 +1,9 @@
-"""Tells a store that is away from an own link that is full.
+"""Distinguishes an unavailable store from a congested link of this process.
 
-Both look alike to a call: nothing comes. A link carries what was sent in turn.
-So an answer of another process to a question that was sent after the call, and
-that came well before the call was given up, shows that the call had left and
-that an answer of the store would have come too.
+Both look alike to a call: no response arrives. A link delivers data in the
+order in which it was sent. If another process answered a query that was sent
+after the call, well before the call was given up, then the call had left this
+process, and a response of the store would have arrived too.
 """
 
 from __future__ import annotations
@@ -14,24 +14,24 @@
 
 from marlramp import clock
 
-SPREAD_MS = 200.0
-"""By how much an answer of the store may come later than one of another process
-that was asked after it; the store's usual answer takes 4 ms."""
+RESPONSE_SPREAD_MS = 200.0
+"""Maximum time by which a response of the store may arrive later than one of a
+process that was queried after it; the store usually responds within 4 ms."""
 
-ASK_MS = 400.0
-"""Between two questions during one call: so long a call is tried for at least,
-as opening a connection is given up then."""
+QUERY_INTERVAL_MS = 400.0
+"""Interval between queries during one call. Every call lasts at least this
+long, since the timeout for opening a connection is 400 ms."""
 
 EXCHANGES_KEPT = 16
-"""Answers that are kept, the newest ones: those of six seconds."""
+"""Maximum number of exchanges kept, the newest ones: those of 6 s."""
 
 
 class SilentCall(msgspec.Struct, frozen=True):
-    """A call that the store gave no answer to.
+    """A call to which the store did not respond.
 
     Attributes:
-      asked_ms: when it was sent.
-      ended_ms: when it was given up, or failed.
+      asked_ms: when the call was sent.
+      ended_ms: when the call timed out or failed.
     """
 
     asked_ms: float
@@ -39,69 +39,70 @@
 
 
 class _Exchange(msgspec.Struct, frozen=True):
-    asked_ms: float
+    requested_ms: float
     answered_ms: float
 
 
 class StoreSilence:
-    """Decides whether calls without an answer are a sign of an outage."""
+    """Decides whether calls without a response are a sign of an outage."""
 
     def __init__(self) -> None:
-        """Has seen neither calls nor answers."""
+        """Starts without any recorded call or exchange."""
         self._exchanges: collections.deque[_Exchange] = collections.deque(
             maxlen=EXCHANGES_KEPT
         )
-        self._question_ms = float("-inf")
+        self._query_ms = float("-inf")
         self._sign_ms: float | None = None
 
     def is_question_due(
         self, asked_ms: float | None, now_ms: clock.Millis
     ) -> bool:
-        """Returns whether to ask another process now, and notes that it is.
+        """Returns whether to query another process now, and records that it is.
 
         Args:
-          asked_ms: when the call was sent that is under way after one that
-            failed, None if there is none.
+          asked_ms: when the call that follows a failed one was sent, None if
+            no such call is in progress.
           now_ms: the time.
         """
         if asked_ms is None:
             return False
-        asked = self._question_ms >= asked_ms
-        if asked and now_ms - self._question_ms < ASK_MS:
+        queried = self._query_ms >= asked_ms
+        if queried and now_ms - self._query_ms < QUERY_INTERVAL_MS:
             return False
-        self._question_ms = now_ms
+        self._query_ms = now_ms
         return True
 
     def note_answer(self, asked_ms: float, now_ms: clock.Millis) -> None:
-        """Takes that another process answered a question.
+        """Records that another process answered a query.
 
         Args:
-          asked_ms: when the question was sent.
+          asked_ms: when the query was sent.
           now_ms: the time.
         """
         self._exchanges.append(_Exchange(asked_ms, now_ms))
 
     def sign_ms(self, call: SilentCall | None) -> float | None:
-        """Returns a reading at which the store served this process not.
+        """Returns a reading at which the store did not serve this process.
 
         Args:
-          call: the last call, None if it was answered.
+          call: the last call, None if the store responded to it.
 
         Returns:
-          The reading, None if nothing shows that.
+          The reading, None if there is no sign of an outage.
         """
         if call is None:
             self._sign_ms = None
-        elif self._is_shown(call):
+        elif self._is_store_silent(call):
             self._sign_ms = call.asked_ms
         return self._sign_ms
 
-    def _is_shown(self, call: SilentCall) -> bool:
-        by_ms = call.ended_ms - SPREAD_MS
+    def _is_store_silent(self, call: SilentCall) -> bool:
+        by_ms = call.ended_ms - RESPONSE_SPREAD_MS
         if by_ms <= call.asked_ms:
-            # The link brought a refusal or a reset at once.
+            # A call that ended this soon was refused or reset, and the link
+            # delivered that at once.
             return True
         return any(
-            call.asked_ms <= each.asked_ms and each.answered_ms <= by_ms
+            call.asked_ms <= each.requested_ms and each.answered_ms <= by_ms
             for each in self._exchanges
         )
--- a/tests/core/conftest.py
+++ b/tests/core/conftest.py
@@ -1,4 +1,4 @@
-"""Builders of the direct path's types."""
+"""Fixtures that build types of the direct path."""
 
 from __future__ import annotations
 
@@ -60,19 +60,19 @@
 
 @pytest.fixture
 def make_route() -> Callable[..., fleet.Route]:
-    """Makes routes that differ from a plain one."""
+    """Makes variants of an idempotent route."""
     return lambda **changes: msgspec.structs.replace(ROUTE, **changes)
 
 
 @pytest.fixture
 def make_replica() -> Callable[..., fleet.Replica]:
-    """Makes replicas that differ from a healthy one."""
+    """Makes variants of a healthy replica."""
     return lambda **changes: msgspec.structs.replace(REPLICA, **changes)
 
 
 @pytest.fixture
 def make_config() -> Callable[..., fleet.FleetConfig]:
-    """Makes configurations."""
+    """Makes configurations with one service and one customer."""
 
     def make(
         version: int = 1, routes: list[fleet.Route] | None = None
@@ -96,5 +96,5 @@
 
 @pytest.fixture
 def known() -> catalog.Catalog:
-    """A catalog that knows nothing."""
+    """An empty catalog."""
     return catalog.Catalog()
--- a/tests/core/test_catalog.py
+++ b/tests/core/test_catalog.py
@@ -32,7 +32,7 @@
     return catalog.TargetChange(revision, target, ages)
 
 
-def test_older_configuration_is_never_taken(
+def test_older_configuration_is_not_applied(
     known: catalog.Catalog, make_config: MakeConfig, time: clock.ManualClock
 ) -> None:
     newer = catalog.ConfigChange(9, make_config(version=7))
@@ -42,7 +42,7 @@
     assert known.config_version == 7
 
 
-def test_changes_merge_in_any_order(
+def test_changes_are_merged_in_any_order(
     known: catalog.Catalog, make_replica: MakeReplica, time: clock.ManualClock
 ) -> None:
     replica = make_replica()
@@ -55,7 +55,7 @@
     assert known.replica("i-1") is None
 
 
-def test_removal_while_the_store_works_counts_at_once(
+def test_replica_removed_while_the_store_serves_is_gone_at_once(
     known: catalog.Catalog, make_replica: MakeReplica, time: clock.ManualClock
 ) -> None:
     known.apply([listed(1, make_replica())], time.now_ms())
@@ -63,7 +63,7 @@
     assert known.replicas() == []
 
 
-def test_entry_that_lapsed_with_the_store_may_come_back(
+def test_replica_whose_record_expired_in_a_store_outage_may_return(
     known: catalog.Catalog, make_replica: MakeReplica, time: clock.ManualClock
 ) -> None:
     known.apply([listed(1, make_replica())], time.now_ms())
@@ -78,7 +78,7 @@
     assert known.replica("i-1") is not None
 
 
-def test_entry_that_stays_away_is_gone(
+def test_replica_whose_record_does_not_return_is_removed(
     known: catalog.Catalog, make_replica: MakeReplica, time: clock.ManualClock
 ) -> None:
     known.apply([listed(1, make_replica())], time.now_ms())
@@ -89,7 +89,7 @@
     assert known.replicas() == []
 
 
-def test_of_two_replicas_at_one_address_only_the_newer_one_counts(
+def test_of_two_replicas_at_one_address_only_the_newer_is_listed(
     known: catalog.Catalog, make_replica: MakeReplica, time: clock.ManualClock
 ) -> None:
     crashed = make_replica(replica_id="i-1", weights=2)
@@ -100,7 +100,7 @@
     assert known.replicas() == [crashed]
 
 
-def test_what_a_peer_missed_can_be_told(
+def test_changes_after_a_revision_hold_what_a_peer_missed(
     known: catalog.Catalog,
     make_replica: MakeReplica,
     make_config: MakeConfig,
@@ -123,7 +123,7 @@
     assert other.targets["m"].named_ms == time.now_ms() - 250.0
 
 
-def test_each_named_version_binds_by_itself(
+def test_each_version_takes_effect_on_its_own(
     known: catalog.Catalog, time: clock.ManualClock
 ) -> None:
     started_ms = time.now_ms()
@@ -143,11 +143,11 @@
     assert oldest() == 3
 
 
-def test_version_told_after_a_newer_one_binds_by_itself(
+def test_version_received_after_a_newer_one_takes_effect_on_its_own(
     known: catalog.Catalog, time: clock.ManualClock
 ) -> None:
     known.apply([named(2, 3)], time.now_ms())
-    # The news of the older one took a longer way.
+    # The change of the older version arrives later, by a slower path.
     assert known.apply([named(1, 2, age_ms=500.0)], time.now_ms()) == []
     assert known.targets["m"].target.version == 3
     time.advance(BOUND_MS - 500.0 - weights_gate.QUEUE_MARGIN_MS)
@@ -156,7 +156,7 @@
     assert oldest(known, time.now_ms()) == 3
 
 
-def test_version_of_unknown_age_binds_soon(
+def test_version_of_unknown_age_takes_effect_after_a_grace_period(
     known: catalog.Catalog, time: clock.ManualClock
 ) -> None:
     known.apply([named(1, 2, age_ms=None)], time.now_ms())
@@ -169,13 +169,13 @@
 
 
 def oldest(known: catalog.Catalog, now_ms: clock.Millis) -> int:
-    """Returns the oldest version that counts, for a process long running."""
+    """Returns the oldest version allowed in a process that started long ago."""
     return weights_gate.oldest_allowed(
         known.targets["m"], BOUND_MS, started_ms=-60_000.0, now_ms=now_ms
     )
 
 
-def test_version_named_while_the_store_is_down_binds_after_its_return(
+def test_version_announced_in_a_store_outage_takes_effect_after_it(
     known: catalog.Catalog, time: clock.ManualClock
 ) -> None:
     time.advance(100_000.0)
@@ -185,7 +185,7 @@
         time.advance(100.0)
         known.store_down(BOUND_MS, time.now_ms())
     time.advance(200.0)
-    # Learnt by a read of everything, 6.2 s after the answer before.
+    # A complete read 6.2 s after the previous response finds version 3.
     known.apply([named(3, 3, age_ms=6_200.0)], time.now_ms())
     time.advance(BOUND_MS - 1_500.0)
     assert oldest(known, time.now_ms()) == 1
@@ -193,7 +193,7 @@
     assert oldest(known, time.now_ms()) == 3
 
 
-def test_version_that_binds_goes_on_binding_while_the_store_is_down(
+def test_version_in_effect_stays_in_effect_in_a_store_outage(
     known: catalog.Catalog, time: clock.ManualClock
 ) -> None:
     time.advance(100_000.0)
@@ -203,7 +203,7 @@
     assert oldest(known, time.now_ms()) == 2
 
 
-def test_version_told_without_age_after_an_outage_binds_after_it(
+def test_version_of_unknown_age_after_an_outage_takes_effect_after_it(
     known: catalog.Catalog, time: clock.ManualClock
 ) -> None:
     time.advance(100_000.0)
@@ -212,16 +212,17 @@
         time.advance(100.0)
         known.store_down(BOUND_MS, time.now_ms())
     time.advance(200.0)
-    # An entry that started meanwhile finds it at its first read.
+    # Reported by an entry that started meanwhile and found the version at its
+    # first read.
     known.apply([named(2, 2, age_ms=None)], time.now_ms())
     time.advance(BOUND_MS - 1_500.0)
     assert oldest(known, time.now_ms()) == 1
 
 
-def test_first_version_named_in_an_outage_binds_after_it(
+def test_first_version_announced_in_an_outage_takes_effect_after_it(
     known: catalog.Catalog, make_config: MakeConfig, time: clock.ManualClock
 ) -> None:
-    # No version was ever named before the outage, so that none is known.
+    # No version was announced before the outage, so that none is known.
     time.advance(100_000.0)
     known.apply([catalog.ConfigChange(1, make_config())], time.now_ms())
     for _ in range(60):
@@ -235,20 +236,21 @@
     assert oldest(known, time.now_ms()) == 2
 
 
-def test_version_found_by_a_process_that_started_in_an_outage_binds(
+def test_process_that_started_in_an_outage_applies_a_found_version(
     known: catalog.Catalog, make_config: MakeConfig, time: clock.ManualClock
 ) -> None:
     time.advance(100_000.0)
     known.store_down(BOUND_MS, time.now_ms())
     time.advance(200.0)
-    # Its first reading finds both; the version may be in force for long.
+    # The first read finds the configuration and the version, which may have
+    # been in force for a long time.
     config = catalog.ConfigChange(1, make_config())
     snapshot = catalog.Snapshot(2, [config, named(2, 2, age_ms=None)])
     known.take_snapshot(snapshot, time.now_ms())
     assert oldest(known, time.now_ms()) == 2
 
 
-def test_restarted_process_learns_a_versions_age_from_another(
+def test_restarted_process_receives_a_versions_age_from_another(
     known: catalog.Catalog, time: clock.ManualClock
 ) -> None:
     time.advance(100_000.0)
@@ -260,7 +262,7 @@
     assert oldest(known, time.now_ms()) == 2
 
 
-def test_request_that_waits_may_begin_until_the_next_version_binds(
+def test_waiting_request_may_start_until_the_next_version_takes_effect(
     known: catalog.Catalog, time: clock.ManualClock
 ) -> None:
     known.apply([named(1, 2), named(2, 3)], time.now_ms())
@@ -271,7 +273,7 @@
     assert ends_ms == float("inf")
 
 
-def test_request_that_yields_leaves_the_old_version_sooner(
+def test_request_with_a_longer_wait_has_an_earlier_version_cutoff(
     known: catalog.Catalog, time: clock.ManualClock
 ) -> None:
     known.apply([named(1, 2)], time.now_ms())
@@ -284,22 +286,22 @@
         )
 
 
-def test_entry_of_a_service_that_nobody_configured_hides_no_replica(
+def test_record_of_an_unconfigured_service_hides_no_replica(
     known: catalog.Catalog, make_replica: MakeReplica, make_config: MakeConfig
 ) -> None:
     good = make_replica()
-    stranger = make_replica(
+    unconfigured = make_replica(
         replica_id="i-2", service_id=ids.ServiceId("nobody")
     )
     configured = catalog.ConfigChange(3, make_config())
-    known.apply([listed(1, good), listed(2, stranger), configured], 0.0)
+    known.apply([listed(1, good), listed(2, unconfigured), configured], 0.0)
     assert known.replicas() == [good]
 
 
-def test_version_that_is_heard_of_after_a_newer_one_binds_by_itself(
+def test_version_delayed_on_another_link_takes_effect_on_its_own(
     known: catalog.Catalog, time: clock.ManualClock
 ) -> None:
-    # The news of version 2 waited behind a configuration on another link.
+    # The change of version 2 was queued behind a configuration on another link.
     time.advance(100_000.0)
     known.apply([named(9, 3)], time.now_ms())
     known.apply([named(4, 2, age_ms=3_000.0)], time.now_ms())
--- a/tests/core/test_cells.py
+++ b/tests/core/test_cells.py
@@ -35,7 +35,7 @@
 
 
 @pytest.mark.parametrize("count", [1, 3, 16, 17, 20, 43, 210])
-def test_cells_are_equal_and_small(count: int) -> None:
+def test_cells_are_of_equal_and_bounded_size(count: int) -> None:
     found = cells.Cells(entries(count), agents(50), REGIONS).all
     sizes = [len(cell.entries) for cell in found]
     assert sum(sizes) == count
@@ -46,13 +46,13 @@
     assert max(shares) <= -(-50 // len(found))
 
 
-def test_every_entry_comes_to_the_same_cells() -> None:
+def test_cells_do_not_depend_on_the_order_of_members() -> None:
     found = cells.Cells(entries(40), agents(30), REGIONS).all
     again = cells.Cells(entries(40)[::-1], agents(30)[::-1], REGIONS).all
     assert found == again
 
 
-def test_one_entry_more_moves_few() -> None:
+def test_adding_an_entry_moves_few_entries() -> None:
     before = cells.Cells(entries(40), agents(60), REGIONS)
     after = cells.Cells(entries(41), agents(60), REGIONS)
     assert len(before.all) == len(after.all)
@@ -65,7 +65,7 @@
     assert len(moved) <= len(before.all) - 1
 
 
-def test_engines_belong_to_cells_of_their_region() -> None:
+def test_agents_belong_to_cells_of_their_region() -> None:
     found = cells.Cells(
         [*entries(20), *entries(20, "dc-1")],
         [*agents(9), *agents(9, "dc-1")],
@@ -77,12 +77,12 @@
         assert cell.region == "region-1"
 
 
-def test_engines_of_a_region_without_entries_belong_to_others() -> None:
+def test_agents_of_a_region_without_entries_belong_to_other_regions() -> None:
     found = cells.Cells(entries(20), agents(8, "dc-2"), REGIONS)
     assert sum(len(cell.agents) for cell in found.all) == 8
 
 
-def test_no_entry_no_cell() -> None:
+def test_no_cells_without_entries() -> None:
     found = cells.Cells([], agents(3), REGIONS)
     assert found.all == []
     assert found.of_agent("dc-0-agent-1") is None
--- a/tests/core/test_named_versions.py
+++ b/tests/core/test_named_versions.py
@@ -16,19 +16,19 @@
     )
 
 
-def test_version_that_was_missed_is_learnt_beside_a_newer_one() -> None:
+def test_missed_version_is_merged_with_a_newer_one() -> None:
     known = [version(1, 0.0), version(3, 5_000.0)]
-    learnt = named_versions.learn(known, version(2, 3_000.0))
-    assert [each.version for each in learnt] == [1, 2, 3]
+    merged = named_versions.learn(known, version(2, 3_000.0))
+    assert [each.version for each in merged] == [1, 2, 3]
 
 
-def test_word_of_another_process_narrows_what_is_known() -> None:
+def test_report_of_another_process_narrows_the_announcement() -> None:
     known = [version(2, 1_000.0, 5_000.0)]
-    (learnt,) = named_versions.learn(known, version(2, 4_200.0, 6_000.0))
-    assert learnt.named == event_time.EventTime(4_200.0, 5_000.0)
+    (merged,) = named_versions.learn(known, version(2, 4_200.0, 6_000.0))
+    assert merged.named == event_time.EventTime(4_200.0, 5_000.0)
 
 
-def test_outage_delays_a_version_that_did_not_bind_yet() -> None:
+def test_outage_delays_a_version_that_has_not_taken_effect() -> None:
     outage = named_versions.Outage()
     for sign_ms in (20_000.0, 21_500.0, 23_000.0):
         outage.note(BOUND_MS, sign_ms)
@@ -43,7 +43,7 @@
     assert in_force.counts_from_ms == 11_000.0
 
 
-def test_outage_longer_than_the_bound_delays_what_was_named_right_before() -> (
+def test_outage_longer_than_the_bound_delays_a_version_announced_before() -> (
     None
 ):
     outage = named_versions.Outage()
@@ -53,13 +53,13 @@
     assert delayed.counts_from_ms == 30_500.0
 
 
-def test_age_that_is_learnt_later_ends_the_guess_by_an_outage() -> None:
-    guessed = named_versions.NamedVersion(2, None, outage_ms=30_000.0)
-    (learnt,) = named_versions.learn([guessed], version(2, 12_000.0))
-    assert learnt.counts_from_ms == 12_000.0
+def test_received_age_replaces_the_estimate_from_an_outage() -> None:
+    estimated = named_versions.NamedVersion(2, None, outage_ms=30_000.0)
+    (merged,) = named_versions.learn([estimated], version(2, 12_000.0))
+    assert merged.counts_from_ms == 12_000.0
 
 
-def test_doubt_matters_until_a_version_is_in_force_for_certain() -> None:
+def test_uncertainty_matters_until_a_version_is_certainly_in_force() -> None:
     known = version(2, 1_000.0, 1_400.0)
     assert known.is_in_doubt(BOUND_MS, 30.0, 9_200.0)
     assert not known.is_in_doubt(BOUND_MS, 30.0, 9_500.0)
@@ -69,30 +69,29 @@
     )
 
 
-def test_version_that_was_in_force_after_all_is_not_delayed_by_an_outage() -> (
-    None
-):
+def test_version_found_to_be_in_force_is_not_delayed_by_an_outage() -> None:
     outage = named_versions.Outage()
     outage.note(BOUND_MS, 20_000.0)
     delayed = outage.applied(version(2, 13_000.0))
-    # Another process knows that it was named earlier than the news allowed.
-    (learnt,) = named_versions.learn([delayed], version(2, 9_000.0, 9_100.0))
-    assert outage.applied(learnt).counts_from_ms == 9_000.0
+    # Another process reports that the version was announced before the
+    # earliest time known so far.
+    (merged,) = named_versions.learn([delayed], version(2, 9_000.0, 9_100.0))
+    assert outage.applied(merged).counts_from_ms == 9_000.0
 
 
-def test_version_that_does_not_bind_yet_is_kept_beside_many_newer_ones() -> (
-    None
-):
+def test_version_not_yet_in_effect_is_kept_beside_many_newer_ones() -> None:
     known: list[named_versions.NamedVersion] = []
     for number in range(2, 10):
         known = named_versions.learn(known, version(number, 500.0 * number))
     assert known[0].version == 2
 
 
-def test_version_that_binds_after_an_outage_is_in_doubt_until_then() -> None:
-    # It was told long after its naming, with the end of an outage.
+def test_version_delayed_by_an_outage_is_uncertain_until_it_takes_effect() -> (
+    None
+):
+    # The report came long after the announcement and named an outage.
     hearing = event_time.news(4_000.0, 40_000.0)
     named = hearing.dated(event_time.Ages(20_000.0, 21_000.0))
-    told = named_versions.NamedVersion(2, named, 35_000.0, outage_told=True)
-    assert told.is_in_doubt(BOUND_MS, 30.0, 40_100.0)
-    assert not told.is_in_doubt(BOUND_MS, 30.0, 44_000.0)
+    reported = named_versions.NamedVersion(2, named, 35_000.0, outage_told=True)
+    assert reported.is_in_doubt(BOUND_MS, 30.0, 40_100.0)
+    assert not reported.is_in_doubt(BOUND_MS, 30.0, 44_000.0)
--- a/tests/core/test_rendezvous.py
+++ b/tests/core/test_rendezvous.py
@@ -19,13 +19,13 @@
     assert max(collections.Counter(plain).values()) > 5
 
 
-def test_orders_hold_every_node_once_and_do_not_depend_on_who_asks() -> None:
+def test_orders_hold_every_node_once_and_ignore_the_order_of_nodes() -> None:
     orders = rendezvous.balanced_orders(KEYS, NODES)
     assert all(sorted(order) == sorted(NODES) for order in orders)
     assert orders == rendezvous.balanced_orders(KEYS, list(reversed(NODES)))
 
 
-def test_a_node_that_leaves_changes_few_firsts() -> None:
+def test_removing_a_node_changes_few_first_nodes() -> None:
     before = firsts(NODES)
     after = firsts(NODES[1:])
     moved = sum(a != b for a, b in zip(before, after, strict=True))
--- a/tests/core/test_roster.py
+++ b/tests/core/test_roster.py
@@ -31,18 +31,18 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_news_in_any_order_and_number_make_the_same_roster(
+def test_updates_in_any_order_and_number_give_an_identical_roster(
     seed: int, time: clock.ManualClock
 ) -> None:
     rng = random.Random(seed)
-    told = [
+    updates = [
         news(rng.randrange(12), rng.randrange(4), rng.choice(STATES))
         for _ in range(60)
     ]
     one, two = make(), make()
-    for each in told:
+    for each in updates:
         one.apply(each, time.now_ms())
-    again = told + rng.choices(told, k=30)
+    again = updates + rng.choices(updates, k=30)
     rng.shuffle(again)
     for each in again:
         two.apply(each, time.now_ms())
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_buckets_that_differ_bring_two_rosters_together(
+def test_exchange_of_differing_buckets_makes_two_rosters_equal(
     seed: int, time: clock.ManualClock
 ) -> None:
     rng = random.Random(seed)
@@ -65,13 +65,15 @@
         for known in (one, two):
             if rng.random() < 0.7:
                 known.apply(each, time.now_ms())
-    for taker, giver in ((one, two), (two, one)):
-        for each in giver.in_buckets(giver.differing(taker.digests())):
-            taker.apply(each, time.now_ms())
+    for receiver, sender in ((one, two), (two, one)):
+        for each in sender.in_buckets(sender.differing(receiver.digests())):
+            receiver.apply(each, time.now_ms())
     assert one.digests() == two.digests()
 
 
-def test_down_is_never_told_and_never_taken(time: clock.ManualClock) -> None:
+def test_state_down_is_neither_sent_nor_accepted(
+    time: clock.ManualClock,
+) -> None:
     known = make()
     known.apply(news(1, 1, members.MemberState.READY), time.now_ms())
     assert (
@@ -87,13 +89,13 @@
     assert names == ["own"]
 
 
-def test_process_contradicts_what_is_said_of_it(
+def test_process_contradicts_a_suspicion_of_itself(
     time: clock.ManualClock,
 ) -> None:
     known = make()
-    said = members.MemberNews(OWN, 7, members.MemberState.SUSPECT)
-    answer = known.apply(said, time.now_ms())
+    suspicion = members.MemberNews(OWN, 7, members.MemberState.SUSPECT)
+    answer = known.apply(suspicion, time.now_ms())
     assert answer is not None
     assert answer.incarnation == 8
     assert answer.state is members.MemberState.STARTING
-    assert known.apply(said, time.now_ms()) is None
+    assert known.apply(suspicion, time.now_ms()) is None
--- a/tests/core/test_seen_values.py
+++ b/tests/core/test_seen_values.py
@@ -3,7 +3,7 @@
 from marlramp.core import seen_values
 
 
-def test_each_value_of_a_key_is_new_once() -> None:
+def test_repeated_value_of_a_key_is_not_new() -> None:
     seen = seen_values.SeenValues()
     assert seen.is_new("i-1", "soon")
     assert not seen.is_new("i-1", "soon")
@@ -11,7 +11,7 @@
     assert seen.is_new("i-1", "later")
 
 
-def test_keys_are_bounded() -> None:
+def test_keys_are_cleared_once_there_are_too_many() -> None:
     seen = seen_values.SeenValues()
     for number in range(seen_values.KEYS_MAX):
         assert seen.is_new(f"i-{number}", "soon")
--- a/tests/core/test_store_completeness.py
+++ b/tests/core/test_store_completeness.py
@@ -7,7 +7,7 @@
 NOW_MS = clock.Millis(10_000.0)
 
 
-def test_change_is_no_older_than_the_answer_that_lacked_it() -> None:
+def test_change_is_no_older_than_the_response_that_lacked_it() -> None:
     known = store_completeness.StoreCompleteness()
     assert known.ages(5, NOW_MS) is None
     known.note_read(4, 9_000.0)
@@ -16,13 +16,13 @@
     assert known.ages(4, NOW_MS) is None
 
 
-def test_watch_that_brought_nothing_shows_its_whole_wait() -> None:
+def test_watch_without_changes_proves_its_whole_wait() -> None:
     known = store_completeness.StoreCompleteness()
     known.note_waited(4, 8_900.0, 1_000.0)
     assert known.ages(5, NOW_MS) == event_time.Ages(0.0, 100.0)
 
 
-def test_newer_word_of_a_reader_does_not_hide_what_an_older_one_shows() -> None:
+def test_newer_report_of_a_reader_does_not_hide_an_older_one() -> None:
     known = store_completeness.StoreCompleteness()
     known.note_heard(store_completeness.Complete(4, 9_000.0))
     known.note_heard(store_completeness.Complete(5, 9_500.0))
--- a/tests/core/test_store_silence.py
+++ b/tests/core/test_store_silence.py
@@ -1,4 +1,4 @@
-"""What tells a store that is away from an own link that is full."""
+"""Tests that an unavailable store is distinguished from a congested link."""
 
 from __future__ import annotations
 
@@ -28,25 +28,26 @@
     ],
     ids=["none", "behind the queue", "before", "after", "too late to tell"],
 )
-def test_silence_behind_a_full_link_is_no_outage(
+def test_silence_on_a_congested_link_is_no_outage(
     exchanges: list[tuple[float, float]],
 ) -> None:
-    # Two such calls had the time of versions count anew.
+    # Two silent calls on a congested link once counted as an outage and
+    # restarted the time of versions.
     assert sign_ms(*exchanges) is None
 
 
-def test_store_that_is_silent_while_others_answer_is_away() -> None:
+def test_store_that_is_silent_while_others_answer_is_unavailable() -> None:
     assert sign_ms((5_050.0, 5_055.0)) == CALL.asked_ms
 
 
-def test_call_that_is_refused_at_once_needs_no_other_way() -> None:
+def test_refused_call_is_a_sign_without_an_exchange() -> None:
     silence = store_silence.StoreSilence()
     refused = store_silence.SilentCall(5_000.0, 5_002.0)
     assert silence.sign_ms(refused) == 5_000.0
 
 
-def test_connection_that_can_not_be_opened_needs_another_way() -> None:
-    # 0.4 s of queue are enough for that.
+def test_connection_timeout_is_a_sign_only_with_an_exchange() -> None:
+    # A queue of 0.4 s on the link suffices for a connection to time out.
     silence = store_silence.StoreSilence()
     unopened = store_silence.SilentCall(5_000.0, 5_400.0)
     assert silence.sign_ms(unopened) is None
@@ -54,7 +55,7 @@
     assert silence.sign_ms(unopened) == 5_000.0
 
 
-def test_outage_lasts_until_the_store_answers() -> None:
+def test_outage_lasts_until_the_store_responds() -> None:
     silence = store_silence.StoreSilence()
     silence.note_answer(5_050.0, clock.Millis(5_055.0))
     silence.sign_ms(CALL)
@@ -64,13 +65,13 @@
     assert silence.sign_ms(later) is None
 
 
-def test_another_process_is_asked_during_each_call() -> None:
+def test_another_process_is_queried_during_each_call() -> None:
     silence = store_silence.StoreSilence()
-    asked = [
+    queried = [
         now_ms
         for now_ms in range(5_000, 6_000, 100)
         if silence.is_question_due(4_950.0, clock.Millis(now_ms))
     ]
-    assert asked == [5_000, 5_400, 5_800]
+    assert queried == [5_000, 5_400, 5_800]
     assert silence.is_question_due(5_850.0, clock.Millis(5_900.0))
     assert not silence.is_question_due(None, clock.Millis(9_000.0))
