--- a/src/marlramp/core/rumours.py
+++ b/src/marlramp/core/gossip.py
@@ -39,7 +39,7 @@
     cycles_left: int
 
 
-class Rumours(Generic[UpdateT]):
+class GossipQueue(Generic[UpdateT]):
     """Updates that this entry still forwards, by subject."""
 
     def __init__(self) -> None:
@@ -50,7 +50,7 @@
         """Queues an update in place of an older one on its subject."""
         self._queued[subject] = _Queued(update, now_ms, GOSSIP_CYCLES)
 
-    def take(self, now_ms: clock.Millis) -> list[UpdateT]:
+    def next_batch(self, now_ms: clock.Millis) -> list[UpdateT]:
         """Returns the updates for one message and counts them as forwarded.
 
         Updates that were forwarded least often come first, and of those the
--- a/src/marlramp/direct/fleet/crash_sync.py
+++ b/src/marlramp/direct/fleet/crash_sync.py
@@ -16,8 +16,8 @@
 from marlramp import ids
 from marlramp import logs
 from marlramp.core import crash_record
+from marlramp.core import gossip
 from marlramp.core import members
-from marlramp.core import rumours
 from marlramp.direct.fleet import member_sync
 from marlramp.protocol import fleet_messages
 
@@ -78,7 +78,7 @@
         self._gathering = False
         self._totals = totals
         self._clock = time
-        self._rumours: rumours.Rumours[ids.CrashId] = rumours.Rumours()
+        self._rumours: gossip.GossipQueue[ids.CrashId] = gossip.GossipQueue()
         self._compare_pause_ms = COMPARE_MS
         self._compared_ms = float("-inf")
         self._telling_until_ms = float("-inf")
@@ -142,7 +142,9 @@
             self._forgot_ms = now_ms
             self._record.tick(now_ms)
         self._queue_untold(now_ms)
-        crashes = self._record.ledger.told(self._rumours.take(now_ms), now_ms)
+        crashes = self._record.ledger.told(
+            self._rumours.next_batch(now_ms), now_ms
+        )
         if crashes:
             self._sync.send_some(fleet_messages.CrashNews(crashes=crashes))
         self._log_verdicts()
--- a/src/marlramp/direct/fleet/limit_sync.py
+++ b/src/marlramp/direct/fleet/limit_sync.py
@@ -13,11 +13,11 @@
 from marlramp import counters
 from marlramp import errors
 from marlramp import logs
+from marlramp.core import gossip
 from marlramp.core import members
 from marlramp.core import replica_limits
 from marlramp.core import replica_table
 from marlramp.core import replica_view
-from marlramp.core import rumours
 from marlramp.core import seen_values
 from marlramp.core import send_limit
 from marlramp.direct.calls import wire
@@ -61,7 +61,7 @@
         self._totals = totals
         self._clock = time
         self._rng = rng
-        self._rumours: rumours.Rumours[str] = rumours.Rumours()
+        self._rumours: gossip.GossipQueue[str] = gossip.GossipQueue()
         self._compared_ms = float("-inf")
         self._unreadable = seen_values.SeenValues()
 
@@ -155,7 +155,7 @@
         self.limits.tick(now_ms)
         for replica_id in self.limits.in_force():
             self._show(replica_id)
-        told = self.limits.told(self._rumours.take(now_ms), now_ms)
+        told = self.limits.told(self._rumours.next_batch(now_ms), now_ms)
         if told:
             self._sync.send_some(fleet_messages.LimitNews(limits=told))
 
--- a/src/marlramp/direct/fleet/member_sync.py
+++ b/src/marlramp/direct/fleet/member_sync.py
@@ -16,10 +16,10 @@
 
 from marlramp import clock
 from marlramp import logs
+from marlramp.core import gossip
 from marlramp.core import members
 from marlramp.core import prober
 from marlramp.core import roster
-from marlramp.core import rumours
 from marlramp.protocol import codec
 from marlramp.protocol import fleet_messages
 from marlramp.settings import node
@@ -140,7 +140,9 @@
         self._clock = time
         self._rng = rng
         self._prober = prober.Prober(self.roster, near, rng)
-        self._rumours: rumours.Rumours[members.MemberNews] = rumours.Rumours()
+        self._rumours: gossip.GossipQueue[members.MemberNews] = (
+            gossip.GossipQueue()
+        )
         self._links: Links | None = None
         self._started_ms = time.now_ms()
         self._compared_ms = float("-inf")
@@ -249,7 +251,7 @@
         self._rumours.add(news.vm_id, news, now_ms)
 
     def _spread(self, now_ms: clock.Millis) -> None:
-        news = self._rumours.take(now_ms)
+        news = self._rumours.next_batch(now_ms)
         if news:
             self.send_some(fleet_messages.MembersNews(news=news))
 
@@ -258,9 +260,9 @@
         entries = self.alive(members.MemberKind.ENTRY)
         near = [entry.vm_id for entry in entries if self.is_near(entry)]
         far = [entry.vm_id for entry in entries if not self.is_near(entry)]
-        targets = self._draw(near, rumours.NEAR_TARGETS)
-        missing = rumours.NEAR_TARGETS - len(targets)
-        targets += self._draw(far, rumours.FAR_TARGETS + missing)
+        targets = self._draw(near, gossip.NEAR_TARGETS)
+        missing = gossip.NEAR_TARGETS - len(targets)
+        targets += self._draw(far, gossip.FAR_TARGETS + missing)
         self.send_all(targets, message)
 
     def _draw(self, vm_ids: list[str], count: int) -> list[str]:
@@ -394,7 +396,7 @@
         self, name: str, request: fleet_messages.RosterRequest
     ) -> None:
         news = self.roster.in_buckets(self.roster.differing(request.digests))
-        chosen = self._rng.sample(news, min(rumours.BATCH_MAX, len(news)))
+        chosen = self._rng.sample(news, min(gossip.BATCH_MAX, len(news)))
         if chosen:
             self.send(name, fleet_messages.MembersNews(news=chosen))
 
