--- a/src/marlramp/core/reader_duty.py
+++ b/src/marlramp/core/reader_election.py
@@ -50,7 +50,7 @@
     served: bool
 
 
-class ReaderDuty:
+class ReaderElection:
     """Elects whether this entry watches the store."""
 
     def __init__(
@@ -80,7 +80,7 @@
         self._data_centres: dict[str, str] = {}
         self._ordered: list[str] = []
 
-    def take(
+    def record_beacon(
         self,
         vm_id: str,
         store_age_ms: float,
--- a/src/marlramp/direct/fleet/entry_fleet.py
+++ b/src/marlramp/direct/fleet/entry_fleet.py
@@ -14,7 +14,7 @@
 from marlramp.core import catalog
 from marlramp.core import crash_record
 from marlramp.core import members
-from marlramp.core import reader_duty
+from marlramp.core import reader_election
 from marlramp.core import replica_table
 from marlramp.core import replica_view
 from marlramp.core import store_completeness
@@ -91,7 +91,7 @@
         self._reader: store_reader.StoreReader | None = None
         self._beacon_ms = float("-inf")
         self._beacon_failing = False
-        self._duty = reader_duty.ReaderDuty(
+        self._duty = reader_election.ReaderElection(
             own.vm_id,
             own.data_centre,
             time.now_ms(),
@@ -308,7 +308,7 @@
         match message:
             case fleet_messages.StoreBeacon():
                 now_ms = self._clock.now_ms()
-                self._duty.take(
+                self._duty.record_beacon(
                     name, message.store_age_ms, now_ms, served=message.served
                 )
                 self.on_revision(name, message.revision)
@@ -447,11 +447,11 @@
         now_ms = self._clock.now_ms()
         if reader is None or not reader.reading or reader.age_ms is None:
             return
-        if reader.age_ms >= reader_duty.READER_STORE_AGE_MS:
+        if reader.age_ms >= reader_election.READER_STORE_AGE_MS:
             return
         since_ms = now_ms - self._beacon_ms
         same = reader.failing is self._beacon_failing
-        if same and since_ms < reader_duty.BEACON_MS:
+        if same and since_ms < reader_election.BEACON_MS:
             return
         self._beacon_ms = now_ms
         self._beacon_failing = reader.failing
--- a/tests/core/test_reader_duty.py
+++ b/tests/core/test_reader_election.py
@@ -3,14 +3,16 @@
 import pytest
 
 from marlramp import clock
-from marlramp.core import reader_duty
+from marlramp.core import reader_election
 
 NAMES = [f"entry-{n}" for n in range(98)]
 DATA_CENTRES = {name: f"dc-{n % 5}" for n, name in enumerate(NAMES)}
 
 
-def election_of(name: str, time: clock.ManualClock) -> reader_duty.ReaderDuty:
-    return reader_duty.ReaderDuty(
+def election_of(
+    name: str, time: clock.ManualClock
+) -> reader_election.ReaderElection:
+    return reader_election.ReaderElection(
         name, DATA_CENTRES[name], time.now_ms(), is_seed=False
     )
 
@@ -52,7 +54,9 @@
         """Delivers a reader's beacon to all other entries."""
         for name in self.alive - {reader}:
             now_ms = self.time.now_ms()
-            self.elections[name].take(reader, 100.0, now_ms, served=served)
+            self.elections[name].record_beacon(
+                reader, 100.0, now_ms, served=served
+            )
 
 
 @pytest.fixture
@@ -63,7 +67,7 @@
 
 
 def test_few_read_while_the_store_serves_all(fleet: Fleet) -> None:
-    assert fleet.run(5_000.0) == reader_duty.READERS
+    assert fleet.run(5_000.0) == reader_election.READERS
 
 
 def test_few_read_while_the_store_rejects_a_third(fleet: Fleet) -> None:
@@ -84,7 +88,9 @@
 def test_last_entry_reads_if_the_store_serves_no_other(fleet: Fleet) -> None:
     ordered = fleet.elections[NAMES[0]]._order(fleet.others(NAMES[0]))
     fleet.served = {ordered[-1]}
-    waited_ms = reader_duty.READER_HEARD_MS + 8 * reader_duty.STANDBY_STEP_MS
+    waited_ms = (
+        reader_election.READER_HEARD_MS + 8 * reader_election.STANDBY_STEP_MS
+    )
     fleet.run(waited_ms)
     assert ordered[-1] in fleet.readers()
 
@@ -94,7 +100,7 @@
     election = fleet.elections["entry-1"]
     assert not election.store_serves_none(others, fleet.time.now_ms())
     fleet.served = set()
-    fleet.run(reader_duty.READER_STORE_AGE_MS + 200.0)
+    fleet.run(reader_election.READER_STORE_AGE_MS + 200.0)
     assert election.store_serves_none(others, fleet.time.now_ms())
 
 
@@ -105,13 +111,13 @@
 
 
 def test_starting_entry_waits_for_the_seeds(time: clock.ManualClock) -> None:
-    seed = reader_duty.ReaderDuty(
+    seed = reader_election.ReaderElection(
         "entry-1", "dc-1", time.now_ms(), is_seed=True
     )
     other = election_of("entry-2", time)
     assert seed.is_reader({}, time.now_ms())
     assert not other.is_reader({}, time.now_ms())
-    time.advance(reader_duty.FIRST_WAIT_MS)
+    time.advance(reader_election.FIRST_WAIT_MS)
     assert other.is_reader({}, time.now_ms())
 
 
@@ -141,7 +147,7 @@
 def test_store_that_serves_another_entry_is_not_down(fleet: Fleet) -> None:
     first, second = fleet.readers()
     fleet.served = {second}
-    fleet.run(2.0 * reader_duty.READER_STORE_AGE_MS)
+    fleet.run(2.0 * reader_election.READER_STORE_AGE_MS)
     now_ms = fleet.time.now_ms()
     others = fleet.alive - {first}
     assert not fleet.elections[first].store_serves_none(others, now_ms)
--- a/tests/direct/fleet/test_store_reader.py
+++ b/tests/direct/fleet/test_store_reader.py
@@ -15,7 +15,7 @@
 from marlramp import ids
 from marlramp.core import catalog
 from marlramp.core import fleet
-from marlramp.core import reader_duty
+from marlramp.core import reader_election
 from marlramp.direct.fleet import store_reader
 from marlramp.platform import calls
 from marlramp.platform import clients
@@ -522,7 +522,7 @@
     assert "m" in known.targets
     assert source.read == 1
     # To the others it is a sign that the store serves.
-    assert max(ages_ms) < reader_duty.READER_STORE_AGE_MS
+    assert max(ages_ms) < reader_election.READER_STORE_AGE_MS
     # What the others read comes from them meanwhile.
     assert kept_up[0]
     assert not kept_up[-1]
