--- a/src/marlramp/core/reader_election.py
+++ b/src/marlramp/core/reader_election.py
@@ -133,7 +133,7 @@
             self._has_taken_over = silent_ms >= wait_ms
         return self._has_taken_over
 
-    def watched_readers(self, others: Mapping[str, str]) -> list[str]:
+    def readers_to_query(self, others: Mapping[str, str]) -> list[str]:
         """Returns the readers that this entry queries as their standby.
 
         Args:
--- a/src/marlramp/direct/fleet/entry_fleet.py
+++ b/src/marlramp/direct/fleet/entry_fleet.py
@@ -290,7 +290,7 @@
         if now_ms - self._standby_asked_ms < STANDBY_ASK_MS:
             return
         self._standby_asked_ms = now_ms
-        for name in self._duty.watched_readers(self._staying()):
+        for name in self._duty.readers_to_query(self._staying()):
             self._ages.ask(name)
 
     # Messages.
