--- a/src/marlramp/core/reader_election.py
+++ b/src/marlramp/core/reader_election.py
@@ -148,7 +148,7 @@
             return ordered[:READERS]
         return []
 
-    def working(self, now_ms: clock.Millis) -> list[str]:
+    def working_readers(self, now_ms: clock.Millis) -> list[str]:
         """Returns the other entries that watch the store and are served."""
         return [each for each in self._beacons if self._works(each, now_ms)]
 
--- a/src/marlramp/direct/fleet/entry_fleet.py
+++ b/src/marlramp/direct/fleet/entry_fleet.py
@@ -247,7 +247,7 @@
         one of them does.
         """
         now_ms = self._clock.now_ms()
-        names = self._duty.working(now_ms)
+        names = self._duty.working_readers(now_ms)
         reading = self._reader is not None and self._reader.reading
         if not reading or not names:
             alive = self.sync.alive(members.MemberKind.ENTRY)
