--- a/src/marlramp/core/members.py
+++ b/src/marlramp/core/members.py
@@ -58,7 +58,7 @@
     callers: str = ""
 
 
-class MemberNews(msgspec.Struct, frozen=True, array_like=True):
+class MemberUpdate(msgspec.Struct, frozen=True, array_like=True):
     """An update on the state of a process, as processes forward it.
 
     Attributes:
@@ -78,7 +78,7 @@
         """The VM of the process."""
         return self.member.vm_id
 
-    def replaces(self, other: MemberNews) -> bool:
+    def replaces(self, other: MemberUpdate) -> bool:
         """Returns whether this is newer than another update on the process."""
         own = (self.incarnation, self.state.value)
         return own > (other.incarnation, other.state.value)
--- a/src/marlramp/core/roster.py
+++ b/src/marlramp/core/roster.py
@@ -47,7 +47,7 @@
         itself.
     """
 
-    news: members.MemberNews
+    news: members.MemberUpdate
     since_ms: float
     heard_ms: float = float("-inf")
 
@@ -70,7 +70,7 @@
           incarnation: first incarnation of this process, higher than that of
             any earlier process on its VM.
         """
-        self.own = members.MemberNews(
+        self.own = members.MemberUpdate(
             own, incarnation, members.MemberState.STARTING
         )
         self.changes = 0
@@ -95,8 +95,8 @@
         return True
 
     def apply(
-        self, news: members.MemberNews, now_ms: clock.Millis
-    ) -> members.MemberNews | None:
+        self, news: members.MemberUpdate, now_ms: clock.Millis
+    ) -> members.MemberUpdate | None:
         """Applies an update on a process, whichever process reported it.
 
         Returns:
@@ -123,8 +123,8 @@
         return None
 
     def apply_direct(
-        self, news: members.MemberNews, now_ms: clock.Millis
-    ) -> members.MemberNews | None:
+        self, news: members.MemberUpdate, now_ms: clock.Millis
+    ) -> members.MemberUpdate | None:
         """Applies an update that a process sent on itself over its own link.
 
         Returns:
@@ -156,7 +156,7 @@
 
     def suspect(
         self, vm_id: str, now_ms: clock.Millis
-    ) -> members.MemberNews | None:
+    ) -> members.MemberUpdate | None:
         """Suspects a process that did not respond.
 
         A process that is already down here stays down. The suspicion is
@@ -230,7 +230,7 @@
         """Returns the buckets whose digests differ from another roster's."""
         return self._digests.differing(digests)
 
-    def in_buckets(self, buckets: Iterable[int]) -> list[members.MemberNews]:
+    def in_buckets(self, buckets: Iterable[int]) -> list[members.MemberUpdate]:
         """Returns updates on members of some buckets, without lost members."""
         wanted = set(buckets)
         known = [record.news for record in self._records.values()]
@@ -241,7 +241,7 @@
             and self._digests.bucket_of(news.vm_id) in wanted
         ]
 
-    def _add(self, news: members.MemberNews, now_ms: clock.Millis) -> Record:
+    def _add(self, news: members.MemberUpdate, now_ms: clock.Millis) -> Record:
         record = Record(news, now_ms)
         self._records[news.vm_id] = record
         self._toggle(news)
@@ -249,7 +249,7 @@
         return record
 
     def _replace(
-        self, record: Record, news: members.MemberNews, now_ms: clock.Millis
+        self, record: Record, news: members.MemberUpdate, now_ms: clock.Millis
     ) -> None:
         self._toggle(record.news)
         record.news = news
@@ -258,8 +258,8 @@
         self.changes += 1
 
     def _contradict(
-        self, news: members.MemberNews
-    ) -> members.MemberNews | None:
+        self, news: members.MemberUpdate
+    ) -> members.MemberUpdate | None:
         """Contradicts an update on this process that another process issued."""
         if not news.replaces(self.own):
             return None
@@ -270,11 +270,11 @@
         self, incarnation: int, state: members.MemberState
     ) -> None:
         self._toggle(self.own)
-        self.own = members.MemberNews(self.own.member, incarnation, state)
+        self.own = members.MemberUpdate(self.own.member, incarnation, state)
         self._toggle(self.own)
         self.changes += 1
 
-    def _toggle(self, news: members.MemberNews) -> None:
+    def _toggle(self, news: members.MemberUpdate) -> None:
         """Adds an update to the digest of its bucket, or removes it from there.
 
         A process that is down is not part of a digest, since entries remove it
--- a/src/marlramp/direct/fleet/entry_contacts.py
+++ b/src/marlramp/direct/fleet/entry_contacts.py
@@ -67,7 +67,7 @@
           on_entries: takes the entries dealt with, by VM, when they changed.
           time: the clock.
         """
-        self._own = members.MemberNews(
+        self._own = members.MemberUpdate(
             own, incarnation, members.MemberState.STARTING
         )
         self._seeds = seeds
@@ -223,14 +223,14 @@
         if before != entries:
             self._on_entries(entries)
 
-    def _contradict(self, news: list[members.MemberNews]) -> None:
+    def _contradict(self, news: list[members.MemberUpdate]) -> None:
         """Raises the incarnation if this agent is taken as lost."""
         for each in news:
             if each.vm_id == self._own.vm_id and each.replaces(self._own):
                 self._raise(each.incarnation + 1, self._own.state)
 
     def _raise(self, incarnation: int, state: members.MemberState) -> None:
-        self._own = members.MemberNews(self._own.member, incarnation, state)
+        self._own = members.MemberUpdate(self._own.member, incarnation, state)
         self.broadcast(self._hello())
 
     def _greet(self, entry: members.Member) -> None:
--- a/src/marlramp/direct/fleet/member_sync.py
+++ b/src/marlramp/direct/fleet/member_sync.py
@@ -140,7 +140,7 @@
         self._clock = time
         self._rng = rng
         self._prober = prober.Prober(self.roster, near, rng)
-        self._rumours: gossip.GossipQueue[members.MemberNews] = (
+        self._rumours: gossip.GossipQueue[members.MemberUpdate] = (
             gossip.GossipQueue()
         )
         self._links: Links | None = None
@@ -247,7 +247,9 @@
         self._note_lost()
         self._spread(now_ms)
 
-    def _pass_on(self, news: members.MemberNews, now_ms: clock.Millis) -> None:
+    def _pass_on(
+        self, news: members.MemberUpdate, now_ms: clock.Millis
+    ) -> None:
         self._rumours.add(news.vm_id, news, now_ms)
 
     def _spread(self, now_ms: clock.Millis) -> None:
@@ -378,7 +380,7 @@
         record = self.roster.get(name)
         if record is None:
             return False
-        news = members.MemberNews(
+        news = members.MemberUpdate(
             record.news.member, summary.incarnation, summary.state
         )
         self._take_direct(news, now_ms)
@@ -401,7 +403,7 @@
             self.send(name, fleet_messages.MembersNews(news=chosen))
 
     def _take(
-        self, news: Iterable[members.MemberNews], now_ms: clock.Millis
+        self, news: Iterable[members.MemberUpdate], now_ms: clock.Millis
     ) -> None:
         for each in news:
             passed_on = self.roster.apply(each, now_ms)
@@ -409,7 +411,7 @@
                 self._pass_on(passed_on, now_ms)
 
     def _take_direct(
-        self, news: members.MemberNews, now_ms: clock.Millis
+        self, news: members.MemberUpdate, now_ms: clock.Millis
     ) -> None:
         known = self.roster.get(news.vm_id)
         if known is not None and news.incarnation < known.news.incarnation:
@@ -478,7 +480,7 @@
 
     def _hello(self, *, reply: bool) -> fleet_messages.Hello:
         """Returns an introduction; one that asks for none names some others."""
-        sample: list[members.MemberNews] = []
+        sample: list[members.MemberUpdate] = []
         if not reply:
             known = [
                 record.news
--- a/src/marlramp/protocol/fleet_messages.py
+++ b/src/marlramp/protocol/fleet_messages.py
@@ -40,15 +40,15 @@
       reply: whether the receiver is to introduce itself too.
     """
 
-    news: members.MemberNews
-    sample: list[members.MemberNews]
+    news: members.MemberUpdate
+    sample: list[members.MemberUpdate]
     reply: bool
 
 
 class MembersNews(_Message):
     """News of members that were new to the sender."""
 
-    news: list[members.MemberNews]
+    news: list[members.MemberUpdate]
 
 
 class Ping(_Message):
--- a/tests/core/test_roster.py
+++ b/tests/core/test_roster.py
@@ -19,11 +19,11 @@
 
 def news(
     number: int, incarnation: int, state: members.MemberState
-) -> members.MemberNews:
+) -> members.MemberUpdate:
     member = members.Member(
         f"vm-{number}", members.MemberKind.ENTRY, "dc-1", "10.0.0.2", 1
     )
-    return members.MemberNews(member, incarnation, state)
+    return members.MemberUpdate(member, incarnation, state)
 
 
 def make() -> roster.Roster:
@@ -93,7 +93,7 @@
     time: clock.ManualClock,
 ) -> None:
     known = make()
-    suspicion = members.MemberNews(OWN, 7, members.MemberState.SUSPECT)
+    suspicion = members.MemberUpdate(OWN, 7, members.MemberState.SUSPECT)
     answer = known.apply(suspicion, time.now_ms())
     assert answer is not None
     assert answer.incarnation == 8
--- a/tests/direct/fleet/test_agent_guide.py
+++ b/tests/direct/fleet/test_agent_guide.py
@@ -53,7 +53,7 @@
     def note(self, agent: members.Member, state: members.MemberState) -> None:
         """Takes an agent's state as its own word."""
         incarnation = self.roster.changes + 1
-        news = members.MemberNews(agent, incarnation, state)
+        news = members.MemberUpdate(agent, incarnation, state)
         self.roster.apply_direct(news, self._clock.now_ms())
 
     def neighbours(self) -> dict[str, fleet_messages.Neighbours]:
--- a/tests/direct/fleet/test_engine_digests.py
+++ b/tests/direct/fleet/test_engine_digests.py
@@ -42,7 +42,7 @@
         self.sent: list[tuple[list[str], fleet_messages.EngineDigest]] = []
         for other in [*ENTRIES, *AGENTS]:
             if other != own:
-                news = members.MemberNews(other, 1, members.MemberState.READY)
+                news = members.MemberUpdate(other, 1, members.MemberState.READY)
                 self.roster.apply_direct(news, time.now_ms())
 
     def send_all(self, vm_ids: Iterable[str], message: msgspec.Struct) -> None:
--- a/tests/direct/fleet/test_entry_contacts.py
+++ b/tests/direct/fleet/test_entry_contacts.py
@@ -113,7 +113,7 @@
 
 
 def hello(by: int) -> fleet_messages.Hello:
-    news = members.MemberNews(entry(by), 1, members.MemberState.READY)
+    news = members.MemberUpdate(entry(by), 1, members.MemberState.READY)
     return fleet_messages.Hello(news=news, sample=[], reply=False)
 
 
@@ -185,7 +185,7 @@
 def test_agent_taken_as_lost_objects(one: Agent) -> None:
     one.told(1, 1, [])
     one.take_sent()
-    own = members.MemberNews(agent(0), 1, members.MemberState.SUSPECT)
+    own = members.MemberUpdate(agent(0), 1, members.MemberState.SUSPECT)
     one.contacts.on_message("entry-1", fleet_messages.MembersNews(news=[own]))
     assert one.take_sent() == [("entry-1", "Hello"), ("entry-2", "Hello")]
 
--- a/tests/direct/fleet/test_load_exchange.py
+++ b/tests/direct/fleet/test_load_exchange.py
@@ -62,7 +62,7 @@
 def sync(time: clock.ManualClock) -> Sent:
     found = Sent(time)
     for member in (entry("entry-2"), entry("entry-3", "dc-2")):
-        news = members.MemberNews(member, 1, members.MemberState.READY)
+        news = members.MemberUpdate(member, 1, members.MemberState.READY)
         found.roster.apply_direct(news, time.now_ms())
     return found
 
--- a/tests/direct/fleet/test_store_outage.py
+++ b/tests/direct/fleet/test_store_outage.py
@@ -125,7 +125,7 @@
         self.time.advance(TICK_MS)
         now_ms = self.time.now_ms()
         for name, place in (("vm-2", "dc-1"), ("vm-3", "dc-2")):
-            news = members.MemberNews(
+            news = members.MemberUpdate(
                 member(name, place), 1, members.MemberState.READY
             )
             self.fleet.sync.roster.apply_direct(news, now_ms)
--- a/tests/direct/fleet/test_version_ages.py
+++ b/tests/direct/fleet/test_version_ages.py
@@ -106,7 +106,7 @@
         )
         self.sent: list[tuple[str, msgspec.Struct]] = []
         for other in others:
-            news = members.MemberNews(
+            news = members.MemberUpdate(
                 member(other, data_centre), 1, members.MemberState.READY
             )
             self.roster.apply_direct(news, time.now_ms())
