--- a/src/marlramp/core/prober.py
+++ b/src/marlramp/core/prober.py
@@ -189,7 +189,7 @@
             record = self._roster.get(vm_id)
             if record is None or vm_id in taken:
                 continue
-            if record.news.state is members.MemberState.DOWN:
+            if record.update.state is members.MemberState.DOWN:
                 continue
             if now_ms - record.heard_ms >= PROBE_MS:
                 taken.append(vm_id)
@@ -197,10 +197,10 @@
 
     def _candidates(self, *, near: bool) -> list[str]:
         return [
-            record.news.vm_id
+            record.update.vm_id
             for record in self._entries()
-            if record.news.state is not members.MemberState.DOWN
-            and (record.news.member.data_centre in self._near) is near
+            if record.update.state is not members.MemberState.DOWN
+            and (record.update.member.data_centre in self._near) is near
         ]
 
     def _doubted(self) -> list[str]:
@@ -211,9 +211,9 @@
     def _unconfirmed(self, now_ms: clock.Millis) -> list[str]:
         """Returns suspects that are to be asked once before they are down."""
         suspects = {
-            record.news.vm_id: record.since_ms
+            record.update.vm_id: record.since_ms
             for record in self._entries()
-            if record.news.state is members.MemberState.SUSPECT
+            if record.update.state is members.MemberState.SUSPECT
             and now_ms - record.since_ms >= CONFIRM_MS
         }
         new = [
@@ -227,19 +227,19 @@
     def _lost(self) -> list[str]:
         """Returns one entry that is down, to find it when it is back."""
         lost = [
-            record.news.vm_id
+            record.update.vm_id
             for record in self._entries()
-            if record.news.state is members.MemberState.DOWN
+            if record.update.state is members.MemberState.DOWN
         ]
         return [self._rng.choice(lost)] if lost else []
 
     def _helpers(self, vm_id: str) -> list[str]:
         others = [
-            record.news.vm_id
+            record.update.vm_id
             for record in self._entries()
-            if record.news.vm_id != vm_id
-            and record.news.vm_id not in self._open
-            and record.news.state is members.MemberState.READY
+            if record.update.vm_id != vm_id
+            and record.update.vm_id not in self._open
+            and record.update.state is members.MemberState.READY
         ]
         return self._rng.sample(others, min(HELPERS, len(others)))
 
@@ -247,5 +247,5 @@
         return [
             record
             for record in self._roster.records()
-            if record.news.member.kind is members.MemberKind.ENTRY
+            if record.update.member.kind is members.MemberKind.ENTRY
         ]
--- a/src/marlramp/core/roster.py
+++ b/src/marlramp/core/roster.py
@@ -47,7 +47,7 @@
         itself.
     """
 
-    news: members.MemberUpdate
+    update: members.MemberUpdate
     since_ms: float
     heard_ms: float = float("-inf")
 
@@ -111,12 +111,12 @@
         if known is None:
             self._add(news, now_ms)
             return news
-        if news.replaces(known.news):
+        if news.replaces(known.update):
             self._replace(known, news, now_ms)
             return news
         if (
-            known.news.state is members.MemberState.DOWN
-            and news.incarnation == known.news.incarnation
+            known.update.state is members.MemberState.DOWN
+            and news.incarnation == known.update.incarnation
             and news.state is not members.MemberState.SUSPECT
         ):
             self.doubted.add(news.vm_id)
@@ -136,10 +136,10 @@
             record.heard_ms = now_ms
             return news
         known.heard_ms = now_ms
-        if news.incarnation < known.news.incarnation or known.news == news:
+        if news.incarnation < known.update.incarnation or known.update == news:
             return None
-        is_new = news.replaces(known.news)
-        if is_new or known.news.state in _LOST:
+        is_new = news.replaces(known.update)
+        if is_new or known.update.state in _LOST:
             self._replace(known, news, now_ms)
         return news if is_new else None
 
@@ -169,9 +169,9 @@
         if record is None:
             return None
         suspected = msgspec.structs.replace(
-            record.news, state=members.MemberState.SUSPECT
+            record.update, state=members.MemberState.SUSPECT
         )
-        if record.news.state not in _LOST:
+        if record.update.state not in _LOST:
             self._replace(record, suspected, now_ms)
         return suspected
 
@@ -184,10 +184,10 @@
         forgotten = []
         for vm_id, record in list(self._records.items()):
             age_ms = now_ms - record.since_ms
-            state = record.news.state
+            state = record.update.state
             if state is members.MemberState.SUSPECT and age_ms >= SUSPECT_MS:
                 down = members.MemberState.DOWN
-                news = msgspec.structs.replace(record.news, state=down)
+                news = msgspec.structs.replace(record.update, state=down)
                 self._replace(record, news, now_ms)
             elif state is members.MemberState.DOWN and age_ms >= FORGET_MS:
                 del self._records[vm_id]
@@ -196,7 +196,7 @@
 
     def is_alive(self, record: Record, now_ms: clock.Millis) -> bool:
         """Returns whether a process is alive, as far as this process knows."""
-        if record.news.state is not members.MemberState.DOWN:
+        if record.update.state is not members.MemberState.DOWN:
             return True
         return now_ms - record.heard_ms < members.ALIVE_MS
 
@@ -205,16 +205,18 @@
     ) -> list[members.Member]:
         """Returns the processes of a kind that are alive, ordered by VM."""
         found = [
-            record.news.member
+            record.update.member
             for record in self._records.values()
-            if record.news.member.kind is kind and self.is_alive(record, now_ms)
+            if record.update.member.kind is kind
+            and self.is_alive(record, now_ms)
         ]
         return sorted(found, key=lambda member: member.vm_id)
 
     def count(self, kind: members.MemberKind) -> int:
         """Returns the number of known processes of a kind, with this one."""
         known = sum(
-            record.news.member.kind is kind for record in self._records.values()
+            record.update.member.kind is kind
+            for record in self._records.values()
         )
         return known + (self.own.member.kind is kind)
 
@@ -233,7 +235,7 @@
     def in_buckets(self, buckets: Iterable[int]) -> list[members.MemberUpdate]:
         """Returns updates on members of some buckets, without lost members."""
         wanted = set(buckets)
-        known = [record.news for record in self._records.values()]
+        known = [record.update for record in self._records.values()]
         return [
             news
             for news in (*known, self.own)
@@ -251,8 +253,8 @@
     def _replace(
         self, record: Record, news: members.MemberUpdate, now_ms: clock.Millis
     ) -> None:
-        self._toggle(record.news)
-        record.news = news
+        self._toggle(record.update)
+        record.update = news
         record.since_ms = now_ms
         self._toggle(news)
         self.changes += 1
--- a/src/marlramp/direct/fleet/agent_guide.py
+++ b/src/marlramp/direct/fleet/agent_guide.py
@@ -184,5 +184,5 @@
         for name in sorted(names):
             record = self._sync.roster.get(name)
             if record is not None:
-                found.append(record.news.member)
+                found.append(record.update.member)
         return found
--- a/src/marlramp/direct/fleet/entry_fleet.py
+++ b/src/marlramp/direct/fleet/entry_fleet.py
@@ -186,7 +186,7 @@
     def is_near_vm(self, vm_id: str) -> bool:
         """Returns whether a process is known to be in the own region."""
         record = self.sync.roster.get(vm_id)
-        return record is not None and self.sync.is_near(record.news.member)
+        return record is not None and self.sync.is_near(record.update.member)
 
     def ready_entries(self) -> list[members.Member]:
         """Returns the other entries that take callers."""
--- a/src/marlramp/direct/fleet/member_sync.py
+++ b/src/marlramp/direct/fleet/member_sync.py
@@ -182,7 +182,7 @@
 
     def _state_of(self, member: members.Member) -> members.MemberState | None:
         record = self.roster.get(member.vm_id)
-        return None if record is None else record.news.state
+        return None if record is None else record.update.state
 
     def is_near(self, member: members.Member) -> bool:
         """Returns whether a member is in the own region."""
@@ -198,7 +198,7 @@
         record = self.roster.get(vm_id)
         if record is None:
             return False
-        member = record.news.member
+        member = record.update.member
         if member.kind is not members.MemberKind.ENTRY:
             return False
         links.open(vm_id, member.host, member.port)
@@ -214,7 +214,7 @@
             record = self.roster.get(vm_id)
             if record is None:
                 continue
-            member = record.news.member
+            member = record.update.member
             if member.kind is members.MemberKind.ENTRY:
                 links.open(vm_id, member.host, member.port)
                 links.send_encoded(vm_id, encoded)
@@ -273,9 +273,9 @@
     def _note_lost(self) -> None:
         """Logs who came and went, and closes links to those that are down."""
         lost = {
-            record.news.vm_id
+            record.update.vm_id
             for record in self.roster.records()
-            if record.news.state is members.MemberState.DOWN
+            if record.update.state is members.MemberState.DOWN
         }
         for vm_id in sorted(lost - self._lost):
             logs.log("member_down", vm=vm_id)
@@ -322,7 +322,7 @@
         if not name.startswith(_SEED):
             return name
         for record in self.roster.records():
-            member = record.news.member
+            member = record.update.member
             if name == f"{_SEED}{member.host}:{member.port}":
                 return member.vm_id
         return name
@@ -337,7 +337,7 @@
         if member.vm_id == self._own.vm_id:
             return
         known = self.roster.get(member.vm_id)
-        new = known is None or known.news.incarnation < hello.news.incarnation
+        new = known is None or known.update.incarnation < hello.news.incarnation
         self._take_direct(hello.news, now_ms)
         if hello.reply:
             self.send(member.vm_id, self._hello(reply=False))
@@ -381,7 +381,7 @@
         if record is None:
             return False
         news = members.MemberUpdate(
-            record.news.member, summary.incarnation, summary.state
+            record.update.member, summary.incarnation, summary.state
         )
         self._take_direct(news, now_ms)
         self._surroundings.on_revision(name, summary.revision)
@@ -414,7 +414,7 @@
         self, news: members.MemberUpdate, now_ms: clock.Millis
     ) -> None:
         known = self.roster.get(news.vm_id)
-        if known is not None and news.incarnation < known.news.incarnation:
+        if known is not None and news.incarnation < known.update.incarnation:
             # Its clock went back before it started: it is to rise above what
             # is known of its earlier process.
             self._contradict(known, now_ms)
@@ -427,17 +427,17 @@
         record = self.roster.heard(name, now_ms)
         if record is None:
             return
-        state = record.news.state
+        state = record.update.state
         if state in (members.MemberState.SUSPECT, members.MemberState.DOWN):
             self._contradict(record, now_ms)
 
     def _contradict(self, record: roster.Record, now_ms: clock.Millis) -> None:
         """Tells a process what is believed of it, for it to object."""
-        vm_id = record.news.vm_id
+        vm_id = record.update.vm_id
         last_ms = self._contradicted_ms.get(vm_id, float("-inf"))
         if now_ms - last_ms >= CONTRADICTION_MS:
             self._contradicted_ms[vm_id] = now_ms
-            message = fleet_messages.MembersNews(news=[record.news])
+            message = fleet_messages.MembersNews(news=[record.update])
             self.send(vm_id, message)
 
     def _compare(self, name: str, digest: int, now_ms: clock.Millis) -> None:
@@ -451,7 +451,7 @@
         record = self.roster.get(name)
         if record is None:
             return
-        far = not self.is_near(record.news.member)
+        far = not self.is_near(record.update.member)
         if far and self._rng.random() >= FAR_COMPARE_SHARE:
             return
         self._compared_ms = now_ms
@@ -483,10 +483,10 @@
         sample: list[members.MemberUpdate] = []
         if not reply:
             known = [
-                record.news
+                record.update
                 for record in self.roster.records()
-                if record.news.state is members.MemberState.READY
-                and record.news.member.kind is members.MemberKind.ENTRY
+                if record.update.state is members.MemberState.READY
+                and record.update.member.kind is members.MemberKind.ENTRY
             ]
             sample = self._rng.sample(known, min(SAMPLE, len(known)))
         return fleet_messages.Hello(
--- a/src/marlramp/direct/fleet/placement.py
+++ b/src/marlramp/direct/fleet/placement.py
@@ -85,10 +85,10 @@
 
     def _agents(self, *states: members.MemberState) -> list[members.Member]:
         return [
-            record.news.member
+            record.update.member
             for record in self._sync.roster.records()
-            if record.news.member.kind is members.MemberKind.AGENT
-            and record.news.state in states
+            if record.update.member.kind is members.MemberKind.AGENT
+            and record.update.state in states
         ]
 
     def mates(self) -> list[str]:
@@ -105,4 +105,4 @@
         if cell is None:
             return []
         records = map(self._sync.roster.get, cell.agents)
-        return [r.news.member.host for r in records if r is not None]
+        return [r.update.member.host for r in records if r is not None]
--- a/tests/core/test_roster.py
+++ b/tests/core/test_roster.py
@@ -49,9 +49,9 @@
     assert one.digests() == two.digests()
     assert one.digest() == two.digest()
     for record in one.records():
-        other = two.get(record.news.vm_id)
+        other = two.get(record.update.vm_id)
         assert other is not None
-        assert other.news == record.news
+        assert other.update == record.update
 
 
 @pytest.mark.parametrize("seed", range(5))
@@ -84,7 +84,7 @@
     known.tick(time.now_ms())
     record = known.get("vm-1")
     assert record is not None
-    assert record.news.state is members.MemberState.DOWN
+    assert record.update.state is members.MemberState.DOWN
     names = [each.vm_id for each in known.in_buckets(range(roster.BUCKETS))]
     assert names == ["own"]
 
--- a/tests/direct/fleet/test_member_sync.py
+++ b/tests/direct/fleet/test_member_sync.py
@@ -124,7 +124,7 @@
         if entry.name != "entry-9":
             record = entry.sync.roster.get("entry-9")
             assert record is not None
-            assert record.news.incarnation >= 2_000
+            assert record.update.incarnation >= 2_000
 
 
 def test_one_whose_clock_went_back_is_heard_all_the_same(
@@ -186,4 +186,4 @@
     fleet.run(roster.SUSPECT_MS + 3 * 100.0)
     record = entry.sync.roster.get("entry-1")
     assert record is not None
-    assert record.news.state is members.MemberState.DOWN
+    assert record.update.state is members.MemberState.DOWN
