--- a/src/marlramp/core/roster.py
+++ b/src/marlramp/core/roster.py
@@ -41,7 +41,7 @@
     """A process and its state as this process knows it.
 
     Attributes:
-      news: the newest update on the process.
+      update: the newest update on the process.
       since_ms: when this process learnt the update.
       heard_ms: when this process last received something from the process
         itself.
@@ -95,7 +95,7 @@
         return True
 
     def apply(
-        self, news: members.MemberUpdate, now_ms: clock.Millis
+        self, update: members.MemberUpdate, now_ms: clock.Millis
     ) -> members.MemberUpdate | None:
         """Applies an update on a process, whichever process reported it.
 
@@ -103,45 +103,48 @@
           The update to forward: the applied one if it is new, or this process's
           contradiction of an update on itself; None otherwise.
         """
-        if news.vm_id == self.own.vm_id:
-            return self._contradict(news)
-        if news.state is members.MemberState.DOWN:
+        if update.vm_id == self.own.vm_id:
+            return self._contradict(update)
+        if update.state is members.MemberState.DOWN:
             return None
-        known = self._records.get(news.vm_id)
+        known = self._records.get(update.vm_id)
         if known is None:
-            self._add(news, now_ms)
-            return news
-        if news.replaces(known.update):
-            self._replace(known, news, now_ms)
-            return news
+            self._add(update, now_ms)
+            return update
+        if update.replaces(known.update):
+            self._replace(known, update, now_ms)
+            return update
         if (
             known.update.state is members.MemberState.DOWN
-            and news.incarnation == known.update.incarnation
-            and news.state is not members.MemberState.SUSPECT
+            and update.incarnation == known.update.incarnation
+            and update.state is not members.MemberState.SUSPECT
         ):
-            self.doubted.add(news.vm_id)
+            self.doubted.add(update.vm_id)
         return None
 
     def apply_direct(
-        self, news: members.MemberUpdate, now_ms: clock.Millis
+        self, update: members.MemberUpdate, now_ms: clock.Millis
     ) -> members.MemberUpdate | None:
         """Applies an update that a process sent on itself over its own link.
 
         Returns:
           The update if it is to be forwarded, None if it is not new.
         """
-        known = self._records.get(news.vm_id)
+        known = self._records.get(update.vm_id)
         if known is None:
-            record = self._add(news, now_ms)
+            record = self._add(update, now_ms)
             record.heard_ms = now_ms
-            return news
+            return update
         known.heard_ms = now_ms
-        if news.incarnation < known.update.incarnation or known.update == news:
+        if (
+            update.incarnation < known.update.incarnation
+            or known.update == update
+        ):
             return None
-        is_new = news.replaces(known.update)
+        is_new = update.replaces(known.update)
         if is_new or known.update.state in _LOST:
-            self._replace(known, news, now_ms)
-        return news if is_new else None
+            self._replace(known, update, now_ms)
+        return update if is_new else None
 
     def heard(self, vm_id: str, now_ms: clock.Millis) -> Record | None:
         """Records that a process sent something to this process.
@@ -187,8 +190,8 @@
             state = record.update.state
             if state is members.MemberState.SUSPECT and age_ms >= SUSPECT_MS:
                 down = members.MemberState.DOWN
-                news = msgspec.structs.replace(record.update, state=down)
-                self._replace(record, news, now_ms)
+                update = msgspec.structs.replace(record.update, state=down)
+                self._replace(record, update, now_ms)
             elif state is members.MemberState.DOWN and age_ms >= FORGET_MS:
                 del self._records[vm_id]
                 forgotten.append(vm_id)
@@ -237,35 +240,37 @@
         wanted = set(buckets)
         known = [record.update for record in self._records.values()]
         return [
-            news
-            for news in (*known, self.own)
-            if news.state not in _LOST
-            and self._digests.bucket_of(news.vm_id) in wanted
+            update
+            for update in (*known, self.own)
+            if update.state not in _LOST
+            and self._digests.bucket_of(update.vm_id) in wanted
         ]
 
-    def _add(self, news: members.MemberUpdate, now_ms: clock.Millis) -> Record:
-        record = Record(news, now_ms)
-        self._records[news.vm_id] = record
-        self._toggle(news)
+    def _add(
+        self, update: members.MemberUpdate, now_ms: clock.Millis
+    ) -> Record:
+        record = Record(update, now_ms)
+        self._records[update.vm_id] = record
+        self._toggle(update)
         self.changes += 1
         return record
 
     def _replace(
-        self, record: Record, news: members.MemberUpdate, now_ms: clock.Millis
+        self, record: Record, update: members.MemberUpdate, now_ms: clock.Millis
     ) -> None:
         self._toggle(record.update)
-        record.update = news
+        record.update = update
         record.since_ms = now_ms
-        self._toggle(news)
+        self._toggle(update)
         self.changes += 1
 
     def _contradict(
-        self, news: members.MemberUpdate
+        self, update: members.MemberUpdate
     ) -> members.MemberUpdate | None:
         """Contradicts an update on this process that another process issued."""
-        if not news.replaces(self.own):
+        if not update.replaces(self.own):
             return None
-        self._replace_own(news.incarnation + 1, self.own.state)
+        self._replace_own(update.incarnation + 1, self.own.state)
         return self.own
 
     def _replace_own(
@@ -276,13 +281,13 @@
         self._toggle(self.own)
         self.changes += 1
 
-    def _toggle(self, news: members.MemberUpdate) -> None:
+    def _toggle(self, update: members.MemberUpdate) -> None:
         """Adds an update to the digest of its bucket, or removes it from there.
 
         A process that is down is not part of a digest, since entries remove it
         from their rosters at different times.
         """
-        if news.state is members.MemberState.DOWN:
+        if update.state is members.MemberState.DOWN:
             return
-        text = f"{news.vm_id}\0{news.incarnation}\0{news.state.value}"
-        self._digests.toggle(news.vm_id, text)
+        text = f"{update.vm_id}\0{update.incarnation}\0{update.state.value}"
+        self._digests.toggle(update.vm_id, text)
--- a/tests/core/test_roster.py
+++ b/tests/core/test_roster.py
@@ -17,7 +17,7 @@
 )
 
 
-def news(
+def make_update(
     number: int, incarnation: int, state: members.MemberState
 ) -> members.MemberUpdate:
     member = members.Member(
@@ -36,7 +36,7 @@
 ) -> None:
     rng = random.Random(seed)
     updates = [
-        news(rng.randrange(12), rng.randrange(4), rng.choice(STATES))
+        make_update(rng.randrange(12), rng.randrange(4), rng.choice(STATES))
         for _ in range(60)
     ]
     one, two = make(), make()
@@ -61,7 +61,7 @@
     rng = random.Random(seed)
     one, two = make(), make()
     for number in range(40):
-        each = news(number, 1, members.MemberState.READY)
+        each = make_update(number, 1, members.MemberState.READY)
         for known in (one, two):
             if rng.random() < 0.7:
                 known.apply(each, time.now_ms())
@@ -75,9 +75,10 @@
     time: clock.ManualClock,
 ) -> None:
     known = make()
-    known.apply(news(1, 1, members.MemberState.READY), time.now_ms())
+    known.apply(make_update(1, 1, members.MemberState.READY), time.now_ms())
     assert (
-        known.apply(news(1, 1, members.MemberState.DOWN), time.now_ms()) is None
+        known.apply(make_update(1, 1, members.MemberState.DOWN), time.now_ms())
+        is None
     )
     known.suspect("vm-1", time.now_ms())
     time.advance(roster.SUSPECT_MS)
