--- a/src/marlramp/core/roster.py
+++ b/src/marlramp/core/roster.py
@@ -146,7 +146,7 @@
             self._replace(known, update, now_ms)
         return update if is_new else None
 
-    def heard(self, vm_id: str, now_ms: clock.Millis) -> Record | None:
+    def record_message(self, vm_id: str, now_ms: clock.Millis) -> Record | None:
         """Records that a process sent something to this process.
 
         Returns:
--- a/src/marlramp/direct/fleet/member_sync.py
+++ b/src/marlramp/direct/fleet/member_sync.py
@@ -424,7 +424,7 @@
 
     def _note_heard(self, name: str, now_ms: clock.Millis) -> None:
         """Records a sign of life; asks one that is taken as lost to object."""
-        record = self.roster.heard(name, now_ms)
+        record = self.roster.record_message(name, now_ms)
         if record is None:
             return
         state = record.update.state
