--- a/src/marlramp/core/prober.py
+++ b/src/marlramp/core/prober.py
@@ -204,8 +204,8 @@
         ]
 
     def _doubted(self) -> list[str]:
-        doubted = sorted(self._roster.doubted)[:DOUBTED_MAX]
-        self._roster.doubted.difference_update(doubted)
+        doubted = sorted(self._roster.disputed)[:DOUBTED_MAX]
+        self._roster.disputed.difference_update(doubted)
         return doubted
 
     def _unconfirmed(self, now_ms: clock.Millis) -> list[str]:
--- a/src/marlramp/core/roster.py
+++ b/src/marlramp/core/roster.py
@@ -74,7 +74,7 @@
             own, incarnation, members.MemberState.STARTING
         )
         self.changes = 0
-        self.doubted: set[str] = set()
+        self.disputed: set[str] = set()
         self._records: dict[str, Record] = {}
         self._digests = bucket_digests.BucketDigests(BUCKETS)
         self._toggle(self.own)
@@ -119,7 +119,7 @@
             and update.incarnation == known.update.incarnation
             and update.state is not members.MemberState.SUSPECT
         ):
-            self.doubted.add(update.vm_id)
+            self.disputed.add(update.vm_id)
         return None
 
     def apply_direct(
