--- a/src/marlramp/core/event_time.py
+++ b/src/marlramp/core/event_time.py
@@ -106,7 +106,7 @@
         )
 
 
-def news(way_max_ms: float, now_ms: clock.Millis) -> Hearing:
+def unsolicited(way_max_ms: float, now_ms: clock.Millis) -> Hearing:
     """Returns the receipt of a message that was sent without a request.
 
     Args:
--- a/src/marlramp/direct/fleet/catalog_sync.py
+++ b/src/marlramp/direct/fleet/catalog_sync.py
@@ -82,7 +82,7 @@
         now_ms = self._clock.now_ms()
         before = self._catalog.revision
         changes = catalog_news.unpack(news.changes)
-        hearing = event_time.news(version_ages.WAY_MAX_MS, now_ms)
+        hearing = event_time.unsolicited(version_ages.WAY_MAX_MS, now_ms)
         new = self._catalog.apply(changes, now_ms, hearing)
         if news.after <= before:
             self._catalog.advance(news.revision)
--- a/tests/core/test_event_time.py
+++ b/tests/core/test_event_time.py
@@ -31,7 +31,7 @@
 
 def test_proven_early_end_replaces_an_assumed_one() -> None:
     # The process was paused for longer than the assumed maximum path latency.
-    assumed = event_time.news(4_000.0, 10_000.0).dated(
+    assumed = event_time.unsolicited(4_000.0, 10_000.0).dated(
         event_time.Ages(0.0, 0.0)
     )
     proven = event_time.EventTime(3_000.0, 7_500.0)
@@ -40,7 +40,7 @@
 
 
 def test_ages_say_that_they_rest_on_an_assumption() -> None:
-    assumed = event_time.news(4_000.0, 10_000.0).dated(
+    assumed = event_time.unsolicited(4_000.0, 10_000.0).dated(
         event_time.Ages(0.0, 0.0)
     )
     answer = event_time.Hearing(10_100.0, 10_200.0)
@@ -50,7 +50,7 @@
 def test_of_two_assumed_early_ends_the_earlier_is_kept() -> None:
     # A duplicate arrived after more than the assumed maximum path latency.
     ages = event_time.Ages(0.0, 0.0)
-    first = event_time.news(4_000.0, 11_000.0).dated(ages)
-    again = event_time.news(4_000.0, 14_500.0).dated(ages)
+    first = event_time.unsolicited(4_000.0, 11_000.0).dated(ages)
+    again = event_time.unsolicited(4_000.0, 14_500.0).dated(ages)
     assert first.narrowed(again).earliest_ms <= 10_000.0
     assert again.narrowed(first).earliest_ms <= 10_000.0
--- a/tests/core/test_named_versions.py
+++ b/tests/core/test_named_versions.py
@@ -90,7 +90,7 @@
     None
 ):
     # The report came long after the announcement and named an outage.
-    hearing = event_time.news(4_000.0, 40_000.0)
+    hearing = event_time.unsolicited(4_000.0, 40_000.0)
     named = hearing.dated(event_time.Ages(20_000.0, 21_000.0))
     reported = named_versions.NamedVersion(2, named, 35_000.0, outage_told=True)
     assert reported.is_in_doubt(BOUND_MS, 30.0, 40_100.0)
--- a/tests/direct/fleet/test_version_ages.py
+++ b/tests/direct/fleet/test_version_ages.py
@@ -292,7 +292,7 @@
         news = other.changes_after(0, self.time.now_ms())
         self.time.advance(way_ms)
         now_ms = self.time.now_ms()
-        hearing = event_time.news(version_ages.WAY_MAX_MS, now_ms)
+        hearing = event_time.unsolicited(version_ages.WAY_MAX_MS, now_ms)
         self.known.apply(news, now_ms, hearing)
         self.ages.note_news("entry-1")
 
@@ -399,7 +399,7 @@
     other.hear(restarted.known, way_ms=1.0)
     other.exchange(restarted, 1.0, 1.0)
     now_ms = time.now_ms()
-    hearing = event_time.news(version_ages.WAY_MAX_MS, now_ms)
+    hearing = event_time.unsolicited(version_ages.WAY_MAX_MS, now_ms)
     assert other.known.apply(late, now_ms, hearing) == []
     named = other.named(2)
     assert named.earliest_ms <= first_ms <= named.latest_ms
