--- a/src/marlramp/core/event_time.py
+++ b/src/marlramp/core/event_time.py
@@ -49,7 +49,7 @@
     assumed: bool = False
 
     @property
-    def doubt_ms(self) -> float:
+    def uncertainty_ms(self) -> float:
         """Width of the interval in milliseconds."""
         return self.latest_ms - self.earliest_ms
 
--- a/src/marlramp/core/named_versions.py
+++ b/src/marlramp/core/named_versions.py
@@ -97,7 +97,7 @@
             counts_by_ms = max(counts_by_ms, self.outage_ms)
         if now_ms >= counts_by_ms + bound_ms:
             return False
-        return self.named.assumed or self.named.doubt_ms > doubt_ms
+        return self.named.assumed or self.named.uncertainty_ms > doubt_ms
 
 
 class Outage(msgspec.Struct):
--- a/src/marlramp/direct/fleet/version_ages.py
+++ b/src/marlramp/direct/fleet/version_ages.py
@@ -167,7 +167,7 @@
 
     def _doubts(self) -> dict[tuple[str, int], float]:
         return {
-            (model, named.version): named.named.doubt_ms
+            (model, named.version): named.named.uncertainty_ms
             for model, known in self._catalog.targets.items()
             for named in known.named
             if named.named is not None
--- a/tests/direct/fleet/test_store_reader.py
+++ b/tests/direct/fleet/test_store_reader.py
@@ -234,7 +234,7 @@
     read(ScriptedStore(nothing(1), version(2)), known, 1.3)
     named = known.targets["m"].named[-1].named
     assert named is not None
-    assert named.doubt_ms < 500.0
+    assert named.uncertainty_ms < 500.0
 
 
 def test_version_comes_between_two_answers_of_the_store() -> None:
@@ -242,7 +242,7 @@
     read(ScriptedStore(nothing(1), version(2, 0.3)), known, 1.5)
     named = known.targets["m"].named[-1].named
     assert named is not None
-    assert 300.0 <= named.doubt_ms < 800.0
+    assert 300.0 <= named.uncertainty_ms < 800.0
 
 
 def test_version_that_was_there_before_gets_no_age_by_a_second_reading() -> (
--- a/tests/direct/fleet/test_version_ages.py
+++ b/tests/direct/fleet/test_version_ages.py
@@ -338,7 +338,7 @@
     other.exchange(reader, there_ms, back_ms)
     named = other.named()
     assert named.earliest_ms <= acknowledged_ms <= named.latest_ms
-    assert named.doubt_ms <= there_ms + back_ms
+    assert named.uncertainty_ms <= there_ms + back_ms
 
 
 def test_one_quick_answer_makes_up_for_slow_ones(
@@ -353,7 +353,7 @@
         other.ages.tick(BOUND_MS)
     named = other.named()
     assert named.earliest_ms <= acknowledged_ms <= named.latest_ms
-    assert named.doubt_ms <= 6.0
+    assert named.uncertainty_ms <= 6.0
 
 
 def test_nobody_is_asked_when_it_no_longer_matters(
@@ -468,7 +468,7 @@
     ((_, request),) = other.asked
     assert isinstance(request, fleet_messages.VersionAgesRequest)
     other.ages.on_answer("seed:10.0.0.1:8000", reader.ages.answer_to(request))
-    assert other.named().doubt_ms == 0.0
+    assert other.named().uncertainty_ms == 0.0
 
 
 def test_version_that_binds_is_not_freed_by_a_call_sent_before(
