--- a/src/marlramp/core/catalog.py
+++ b/src/marlramp/core/catalog.py
@@ -444,7 +444,7 @@
         outage_ms = None
         outage_told = outage_age_ms is not None
         if outage_age_ms is not None:
-            outage_ms = hearing.after_ms - outage_age_ms
+            outage_ms = hearing.sent_after_ms - outage_age_ms
         if named is None and self._knew_before and self._outage.known:
             outage_ms = self._outage.last_ms
             outage_told = False
--- a/src/marlramp/core/event_time.py
+++ b/src/marlramp/core/event_time.py
@@ -93,14 +93,14 @@
       assumed: whether `after_ms` rests on an assumed maximum path latency.
     """
 
-    after_ms: float
+    sent_after_ms: float
     now_ms: float
     assumed: bool = False
 
     def dated(self, ages: Ages) -> EventTime:
         """Returns when an event of the received ages happened."""
         return EventTime(
-            self.after_ms - ages.most_ms,
+            self.sent_after_ms - ages.most_ms,
             self.now_ms - ages.least_ms,
             self.assumed or ages.assumed,
         )
