--- a/src/marlramp/core/catalog.py
+++ b/src/marlramp/core/catalog.py
@@ -377,7 +377,7 @@
             case TargetChange():
                 return self._apply_target(change, hearing)
             case ReplicaChange():
-                return self._apply_replica(change, hearing.now_ms)
+                return self._apply_replica(change, hearing.received_ms)
 
     def _apply_config(self, change: ConfigChange) -> bool:
         if change.revision <= self.config_revision:
--- a/src/marlramp/core/event_time.py
+++ b/src/marlramp/core/event_time.py
@@ -94,14 +94,14 @@
     """
 
     sent_after_ms: float
-    now_ms: float
+    received_ms: float
     assumed: bool = False
 
     def dated(self, ages: Ages) -> EventTime:
         """Returns when an event of the received ages happened."""
         return EventTime(
             self.sent_after_ms - ages.most_ms,
-            self.now_ms - ages.least_ms,
+            self.received_ms - ages.least_ms,
             self.assumed or ages.assumed,
         )
 
--- a/tests/core/test_event_time.py
+++ b/tests/core/test_event_time.py
@@ -5,7 +5,7 @@
 
 def test_slow_response_dates_an_event_from_its_request() -> None:
     ages = event_time.Ages(40.0, 60.0)
-    hearing = event_time.Hearing(sent_after_ms=1_000.0, now_ms=1_700.0)
+    hearing = event_time.Hearing(sent_after_ms=1_000.0, received_ms=1_700.0)
     assert hearing.dated(ages) == event_time.EventTime(940.0, 1_660.0)
 
 
