--- a/src/marlramp/core/catalog.py
+++ b/src/marlramp/core/catalog.py
@@ -230,7 +230,7 @@
         self,
         changes: Iterable[Change],
         now_ms: clock.Millis,
-        hearing: event_time.Hearing | None = None,
+        hearing: event_time.Receipt | None = None,
     ) -> list[Change]:
         """Applies changes in any order; returns those that were new.
 
@@ -240,7 +240,7 @@
           hearing: when the changes were sent and received, None if their ages
             are as of `now_ms`.
         """
-        hearing = hearing or event_time.Hearing(now_ms, now_ms)
+        hearing = hearing or event_time.Receipt(now_ms, now_ms)
         self._knew_before = self.config is not None or bool(self.targets)
         return [c for c in changes if self._apply_change(c, hearing)]
 
@@ -276,7 +276,7 @@
     def learn_ages(
         self,
         versions: Iterable[named_versions.AgedVersion],
-        hearing: event_time.Hearing,
+        hearing: event_time.Receipt,
     ) -> None:
         """Merges the ages of versions that another process reported.
 
@@ -369,7 +369,7 @@
         return gone
 
     def _apply_change(
-        self, change: Change, hearing: event_time.Hearing
+        self, change: Change, hearing: event_time.Receipt
     ) -> bool:
         match change:
             case ConfigChange():
@@ -389,7 +389,7 @@
         return True
 
     def _apply_target(
-        self, change: TargetChange, hearing: event_time.Hearing
+        self, change: TargetChange, hearing: event_time.Receipt
     ) -> bool:
         target = change.target
         known = self.targets.get(target.model)
@@ -408,7 +408,7 @@
         return True
 
     def _dated_versions(
-        self, change: TargetChange, hearing: event_time.Hearing
+        self, change: TargetChange, hearing: event_time.Receipt
     ) -> list[named_versions.NamedVersion]:
         """Returns all versions of a change, the oldest first."""
         version = change.target.version
@@ -431,7 +431,7 @@
         version: int,
         ages: event_time.Ages | None,
         outage_age_ms: float | None,
-        hearing: event_time.Hearing,
+        hearing: event_time.Receipt,
     ) -> named_versions.NamedVersion:
         """Returns a received version, dated by the own clock.
 
--- a/src/marlramp/core/event_time.py
+++ b/src/marlramp/core/event_time.py
@@ -84,7 +84,7 @@
         return EventTime(earliest_ms, latest_ms)
 
 
-class Hearing(msgspec.Struct, frozen=True):
+class Receipt(msgspec.Struct, frozen=True):
     """Readings of the own clock between which an age was sent and received.
 
     Attributes:
@@ -106,11 +106,11 @@
         )
 
 
-def unsolicited(way_max_ms: float, now_ms: clock.Millis) -> Hearing:
+def unsolicited(way_max_ms: float, now_ms: clock.Millis) -> Receipt:
     """Returns the receipt of a message that was sent without a request.
 
     Args:
       way_max_ms: assumed maximum path latency of the message.
       now_ms: the time at which the message arrived.
     """
-    return Hearing(now_ms - way_max_ms, now_ms, assumed=True)
+    return Receipt(now_ms - way_max_ms, now_ms, assumed=True)
--- a/src/marlramp/direct/fleet/named_weights.py
+++ b/src/marlramp/direct/fleet/named_weights.py
@@ -135,7 +135,7 @@
         self,
         changes: list[catalog.Change],
         source: str,
-        hearing: event_time.Hearing | None = None,
+        hearing: event_time.Receipt | None = None,
     ) -> bool:
         """Takes named weights, and what the store holds besides.
 
--- a/tests/core/test_event_time.py
+++ b/tests/core/test_event_time.py
@@ -5,7 +5,7 @@
 
 def test_slow_response_dates_an_event_from_its_request() -> None:
     ages = event_time.Ages(40.0, 60.0)
-    hearing = event_time.Hearing(sent_after_ms=1_000.0, received_ms=1_700.0)
+    hearing = event_time.Receipt(sent_after_ms=1_000.0, received_ms=1_700.0)
     assert hearing.dated(ages) == event_time.EventTime(940.0, 1_660.0)
 
 
@@ -25,7 +25,7 @@
 
 def test_ages_received_at_once_reproduce_the_event_time() -> None:
     known = event_time.EventTime(100.0, 200.0)
-    hearing = event_time.Hearing(950.0, 950.0)
+    hearing = event_time.Receipt(950.0, 950.0)
     assert hearing.dated(known.ages(950.0)) == known
 
 
@@ -43,7 +43,7 @@
     assumed = event_time.unsolicited(4_000.0, 10_000.0).dated(
         event_time.Ages(0.0, 0.0)
     )
-    answer = event_time.Hearing(10_100.0, 10_200.0)
+    answer = event_time.Receipt(10_100.0, 10_200.0)
     assert answer.dated(assumed.ages(10_150.0)).assumed
 
 
