--- a/src/marlramp/core/catalog.py
+++ b/src/marlramp/core/catalog.py
@@ -230,19 +230,19 @@
         self,
         changes: Iterable[Change],
         now_ms: clock.Millis,
-        hearing: event_time.Receipt | None = None,
+        receipt: event_time.Receipt | None = None,
     ) -> list[Change]:
         """Applies changes in any order; returns those that were new.
 
         Args:
           changes: the changes.
           now_ms: the time.
-          hearing: when the changes were sent and received, None if their ages
+          receipt: when the changes were sent and received, None if their ages
             are as of `now_ms`.
         """
-        hearing = hearing or event_time.Receipt(now_ms, now_ms)
+        receipt = receipt or event_time.Receipt(now_ms, now_ms)
         self._knew_before = self.config is not None or bool(self.targets)
-        return [c for c in changes if self._apply_change(c, hearing)]
+        return [c for c in changes if self._apply_change(c, receipt)]
 
     def aged_change(
         self, change: TargetChange, now_ms: clock.Millis
@@ -276,23 +276,23 @@
     def learn_ages(
         self,
         versions: Iterable[named_versions.AgedVersion],
-        hearing: event_time.Receipt,
+        receipt: event_time.Receipt,
     ) -> None:
         """Merges the ages of versions that another process reported.
 
         Args:
           versions: the versions. Versions newer than the known target are
             ignored, since a change announces them.
-          hearing: when the ages were sent and received.
+          receipt: when the ages were sent and received.
         """
         for aged in versions:
             known = self.targets.get(aged.model)
             if known is None or aged.version > known.target.version:
                 continue
-            heard = self._dated_version(
-                aged.version, aged.ages, aged.outage_age_ms, hearing
+            received = self._dated_version(
+                aged.version, aged.ages, aged.outage_age_ms, receipt
             )
-            known.named = self._merged(known.named, heard)
+            known.named = self._merged(known.named, received)
 
     def advance(self, revision: int) -> None:
         """Records that all changes up to `revision` have been applied."""
@@ -369,15 +369,15 @@
         return gone
 
     def _apply_change(
-        self, change: Change, hearing: event_time.Receipt
+        self, change: Change, receipt: event_time.Receipt
     ) -> bool:
         match change:
             case ConfigChange():
                 return self._apply_config(change)
             case TargetChange():
-                return self._apply_target(change, hearing)
+                return self._apply_target(change, receipt)
             case ReplicaChange():
-                return self._apply_replica(change, hearing.received_ms)
+                return self._apply_replica(change, receipt.received_ms)
 
     def _apply_config(self, change: ConfigChange) -> bool:
         if change.revision <= self.config_revision:
@@ -389,18 +389,18 @@
         return True
 
     def _apply_target(
-        self, change: TargetChange, hearing: event_time.Receipt
+        self, change: TargetChange, receipt: event_time.Receipt
     ) -> bool:
         target = change.target
         known = self.targets.get(target.model)
         named = [] if known is None else known.named
         is_stale = known is not None and change.revision < known.revision
-        for heard in self._dated_versions(change, hearing):
+        for received in self._dated_versions(change, receipt):
             # A change of an older version may arrive after that of a newer one,
             # and the older version takes effect sooner. A stale read gives the
             # older version without its age and is ignored.
-            if not is_stale or heard.named is not None:
-                named = self._merged(named, heard)
+            if not is_stale or received.named is not None:
+                named = self._merged(named, received)
         if known is not None and change.revision <= known.revision:
             known.named = named
             return False
@@ -408,30 +408,30 @@
         return True
 
     def _dated_versions(
-        self, change: TargetChange, hearing: event_time.Receipt
+        self, change: TargetChange, receipt: event_time.Receipt
     ) -> list[named_versions.NamedVersion]:
         """Returns all versions of a change, the oldest first."""
         version = change.target.version
-        heard = [
+        received = [
             self._dated_version(
-                each.version, each.ages, each.outage_age_ms, hearing
+                each.version, each.ages, each.outage_age_ms, receipt
             )
             for each in change.earlier
             if each.version < version
         ]
-        heard.append(
+        received.append(
             self._dated_version(
-                version, change.ages, change.outage_age_ms, hearing
+                version, change.ages, change.outage_age_ms, receipt
             )
         )
-        return heard
+        return received
 
     def _dated_version(
         self,
         version: int,
         ages: event_time.Ages | None,
         outage_age_ms: float | None,
-        hearing: event_time.Receipt,
+        receipt: event_time.Receipt,
     ) -> named_versions.NamedVersion:
         """Returns a received version, dated by the own clock.
 
@@ -440,11 +440,11 @@
         """
         named = None
         if ages is not None and ages.is_sound:
-            named = hearing.dated(ages)
+            named = receipt.dated(ages)
         outage_ms = None
         outage_told = outage_age_ms is not None
         if outage_age_ms is not None:
-            outage_ms = hearing.sent_after_ms - outage_age_ms
+            outage_ms = receipt.sent_after_ms - outage_age_ms
         if named is None and self._knew_before and self._outage.known:
             outage_ms = self._outage.last_ms
             outage_told = False
@@ -455,9 +455,9 @@
     def _merged(
         self,
         versions: list[named_versions.NamedVersion],
-        heard: named_versions.NamedVersion,
+        received: named_versions.NamedVersion,
     ) -> list[named_versions.NamedVersion]:
-        merged = named_versions.learn(versions, heard)
+        merged = named_versions.learn(versions, received)
         return [self._outage.applied(each) for each in merged]
 
     def _apply_replica(self, change: ReplicaChange, now_ms: float) -> bool:
--- a/src/marlramp/core/event_time.py
+++ b/src/marlramp/core/event_time.py
@@ -106,11 +106,11 @@
         )
 
 
-def unsolicited(way_max_ms: float, now_ms: clock.Millis) -> Receipt:
+def unsolicited(path_latency_max_ms: float, now_ms: clock.Millis) -> Receipt:
     """Returns the receipt of a message that was sent without a request.
 
     Args:
-      way_max_ms: assumed maximum path latency of the message.
+      path_latency_max_ms: assumed maximum path latency of the message.
       now_ms: the time at which the message arrived.
     """
-    return Receipt(now_ms - way_max_ms, now_ms, assumed=True)
+    return Receipt(now_ms - path_latency_max_ms, now_ms, assumed=True)
--- a/src/marlramp/core/named_versions.py
+++ b/src/marlramp/core/named_versions.py
@@ -47,7 +47,7 @@
         at a first read, so that its age is not known.
       outage_ms: the last reading at which the store was down before the version
         took effect, None if the store was not down.
-      outage_told: whether only other processes observed that outage.
+      outage_reported: whether only other processes observed that outage.
     """
 
     version: int
@@ -81,13 +81,13 @@
         return AgedVersion(model, self.version, ages, outage_age_ms)
 
     def is_in_doubt(
-        self, bound_ms: float, doubt_ms: float, now_ms: clock.Millis
+        self, bound_ms: float, uncertainty_max_ms: float, now_ms: clock.Millis
     ) -> bool:
         """Returns whether a more precise time of the announcement is needed.
 
         Args:
           bound_ms: time from a version's announcement until it takes effect.
-          doubt_ms: uncertainty of the announcement that is acceptable.
+          uncertainty_max_ms: acceptable uncertainty of the announcement.
           now_ms: the time.
         """
         if self.named is None:
@@ -97,7 +97,9 @@
             counts_by_ms = max(counts_by_ms, self.outage_ms)
         if now_ms >= counts_by_ms + bound_ms:
             return False
-        return self.named.assumed or self.named.uncertainty_ms > doubt_ms
+        return (
+            self.named.assumed or self.named.uncertainty_ms > uncertainty_max_ms
+        )
 
 
 class Outage(msgspec.Struct):
@@ -151,7 +153,7 @@
 
 
 def learn(
-    versions: list[NamedVersion], heard: NamedVersion
+    versions: list[NamedVersion], received: NamedVersion
 ) -> list[NamedVersion]:
     """Returns known versions, oldest first, merged with a received one.
 
@@ -160,31 +162,31 @@
 
     Args:
       versions: the known versions.
-      heard: the received version.
+      received: the received version.
     """
     merged = []
     is_known = False
     for known in versions:
-        if known.version == heard.version:
+        if known.version == received.version:
             is_known = True
-            merged.append(_merged(known, heard))
+            merged.append(_merged(known, received))
         else:
             merged.append(known)
     if not is_known:
-        merged.append(heard)
+        merged.append(received)
     merged.sort(key=lambda each: each.version)
     return merged[-VERSIONS_KEPT:]
 
 
-def _merged(known: NamedVersion, heard: NamedVersion) -> NamedVersion:
-    if heard.named is None:
+def _merged(known: NamedVersion, received: NamedVersion) -> NamedVersion:
+    if received.named is None:
         return known
     if known.named is None:
-        return heard
-    named = known.named.narrowed(heard.named)
+        return received
+    named = known.named.narrowed(received.named)
     if known.outage_told:
         return NamedVersion(
-            known.version, named, _merged_outage_ms(known, heard), True
+            known.version, named, _merged_outage_ms(known, received), True
         )
     # If the version was announced earlier than known so far, the caller decides
     # again whether an outage delayed it.
@@ -193,17 +195,21 @@
     return NamedVersion(known.version, named, outage_ms)
 
 
-def _merged_outage_ms(known: NamedVersion, heard: NamedVersion) -> float | None:
+def _merged_outage_ms(
+    known: NamedVersion, received: NamedVersion
+) -> float | None:
     """Returns the outage reading that results from two reports of a version.
 
     A reading whose version has an assumed announcement is replaced by one
     without an assumption, as in `EventTime.narrowed`. Of two assumed readings
     the earlier one is kept, of two others the later one.
     """
-    if _is_assumed(known) is not _is_assumed(heard):
-        return heard.outage_ms if _is_assumed(known) else known.outage_ms
+    if _is_assumed(known) is not _is_assumed(received):
+        return received.outage_ms if _is_assumed(known) else known.outage_ms
     reported_ms = [
-        each.outage_ms for each in (known, heard) if each.outage_ms is not None
+        each.outage_ms
+        for each in (known, received)
+        if each.outage_ms is not None
     ]
     pick = min if _is_assumed(known) else max
     return pick(reported_ms, default=None)
--- a/tests/core/test_event_time.py
+++ b/tests/core/test_event_time.py
@@ -5,8 +5,8 @@
 
 def test_slow_response_dates_an_event_from_its_request() -> None:
     ages = event_time.Ages(40.0, 60.0)
-    hearing = event_time.Receipt(sent_after_ms=1_000.0, received_ms=1_700.0)
-    assert hearing.dated(ages) == event_time.EventTime(940.0, 1_660.0)
+    receipt = event_time.Receipt(sent_after_ms=1_000.0, received_ms=1_700.0)
+    assert receipt.dated(ages) == event_time.EventTime(940.0, 1_660.0)
 
 
 def test_overlapping_intervals_are_intersected() -> None:
@@ -25,8 +25,8 @@
 
 def test_ages_received_at_once_reproduce_the_event_time() -> None:
     known = event_time.EventTime(100.0, 200.0)
-    hearing = event_time.Receipt(950.0, 950.0)
-    assert hearing.dated(known.ages(950.0)) == known
+    receipt = event_time.Receipt(950.0, 950.0)
+    assert receipt.dated(known.ages(950.0)) == known
 
 
 def test_proven_early_end_replaces_an_assumed_one() -> None:
--- a/tests/core/test_named_versions.py
+++ b/tests/core/test_named_versions.py
@@ -90,8 +90,8 @@
     None
 ):
     # The report came long after the announcement and named an outage.
-    hearing = event_time.unsolicited(4_000.0, 40_000.0)
-    named = hearing.dated(event_time.Ages(20_000.0, 21_000.0))
+    receipt = event_time.unsolicited(4_000.0, 40_000.0)
+    named = receipt.dated(event_time.Ages(20_000.0, 21_000.0))
     reported = named_versions.NamedVersion(2, named, 35_000.0, outage_told=True)
     assert reported.is_in_doubt(BOUND_MS, 30.0, 40_100.0)
     assert not reported.is_in_doubt(BOUND_MS, 30.0, 44_000.0)
