--- a/src/marlramp/core/named_versions.py
+++ b/src/marlramp/core/named_versions.py
@@ -80,7 +80,7 @@
         ages = None if self.named is None else self.named.ages(now_ms)
         return AgedVersion(model, self.version, ages, outage_age_ms)
 
-    def is_in_doubt(
+    def needs_refinement(
         self, bound_ms: float, uncertainty_max_ms: float, now_ms: clock.Millis
     ) -> bool:
         """Returns whether a more precise time of the announcement is needed.
--- a/src/marlramp/direct/fleet/version_ages.py
+++ b/src/marlramp/direct/fleet/version_ages.py
@@ -159,7 +159,7 @@
             (model, named.version)
             for model, known in self._catalog.targets.items()
             for named in known.named
-            if named.is_in_doubt(bound_ms, DOUBT_MS, now_ms)
+            if named.needs_refinement(bound_ms, DOUBT_MS, now_ms)
         ]
         return [
             each for each in found if self._answers.get(each, 0) < ANSWERS_MAX
--- a/tests/core/test_named_versions.py
+++ b/tests/core/test_named_versions.py
@@ -61,10 +61,12 @@
 
 def test_uncertainty_matters_until_a_version_is_certainly_in_force() -> None:
     known = version(2, 1_000.0, 1_400.0)
-    assert known.is_in_doubt(BOUND_MS, 30.0, 9_200.0)
-    assert not known.is_in_doubt(BOUND_MS, 30.0, 9_500.0)
-    assert not version(2, 1_000.0, 1_010.0).is_in_doubt(BOUND_MS, 30.0, 2_000.0)
-    assert named_versions.NamedVersion(2, None).is_in_doubt(
+    assert known.needs_refinement(BOUND_MS, 30.0, 9_200.0)
+    assert not known.needs_refinement(BOUND_MS, 30.0, 9_500.0)
+    assert not version(2, 1_000.0, 1_010.0).needs_refinement(
+        BOUND_MS, 30.0, 2_000.0
+    )
+    assert named_versions.NamedVersion(2, None).needs_refinement(
         BOUND_MS, 30.0, 2_000.0
     )
 
@@ -93,5 +95,5 @@
     receipt = event_time.unsolicited(4_000.0, 40_000.0)
     named = receipt.dated(event_time.Ages(20_000.0, 21_000.0))
     reported = named_versions.NamedVersion(2, named, 35_000.0, outage_told=True)
-    assert reported.is_in_doubt(BOUND_MS, 30.0, 40_100.0)
-    assert not reported.is_in_doubt(BOUND_MS, 30.0, 44_000.0)
+    assert reported.needs_refinement(BOUND_MS, 30.0, 40_100.0)
+    assert not reported.needs_refinement(BOUND_MS, 30.0, 44_000.0)
