--- a/src/marlramp/core/catalog.py
+++ b/src/marlramp/core/catalog.py
@@ -457,7 +457,7 @@
         versions: list[named_versions.NamedVersion],
         received: named_versions.NamedVersion,
     ) -> list[named_versions.NamedVersion]:
-        merged = named_versions.learn(versions, received)
+        merged = named_versions.merge(versions, received)
         return [self._outage.applied(each) for each in merged]
 
     def _apply_replica(self, change: ReplicaChange, now_ms: float) -> bool:
--- a/src/marlramp/core/named_versions.py
+++ b/src/marlramp/core/named_versions.py
@@ -152,7 +152,7 @@
         return NamedVersion(version.version, version.named, outage_ms)
 
 
-def learn(
+def merge(
     versions: list[NamedVersion], received: NamedVersion
 ) -> list[NamedVersion]:
     """Returns known versions, oldest first, merged with a received one.
--- a/tests/core/test_named_versions.py
+++ b/tests/core/test_named_versions.py
@@ -18,13 +18,13 @@
 
 def test_missed_version_is_merged_with_a_newer_one() -> None:
     known = [version(1, 0.0), version(3, 5_000.0)]
-    merged = named_versions.learn(known, version(2, 3_000.0))
+    merged = named_versions.merge(known, version(2, 3_000.0))
     assert [each.version for each in merged] == [1, 2, 3]
 
 
 def test_report_of_another_process_narrows_the_announcement() -> None:
     known = [version(2, 1_000.0, 5_000.0)]
-    (merged,) = named_versions.learn(known, version(2, 4_200.0, 6_000.0))
+    (merged,) = named_versions.merge(known, version(2, 4_200.0, 6_000.0))
     assert merged.named == event_time.EventTime(4_200.0, 5_000.0)
 
 
@@ -55,7 +55,7 @@
 
 def test_received_age_replaces_the_estimate_from_an_outage() -> None:
     estimated = named_versions.NamedVersion(2, None, outage_ms=30_000.0)
-    (merged,) = named_versions.learn([estimated], version(2, 12_000.0))
+    (merged,) = named_versions.merge([estimated], version(2, 12_000.0))
     assert merged.counts_from_ms == 12_000.0
 
 
@@ -77,14 +77,14 @@
     delayed = outage.applied(version(2, 13_000.0))
     # Another process reports that the version was announced before the
     # earliest time known so far.
-    (merged,) = named_versions.learn([delayed], version(2, 9_000.0, 9_100.0))
+    (merged,) = named_versions.merge([delayed], version(2, 9_000.0, 9_100.0))
     assert outage.applied(merged).counts_from_ms == 9_000.0
 
 
 def test_version_not_yet_in_effect_is_kept_beside_many_newer_ones() -> None:
     known: list[named_versions.NamedVersion] = []
     for number in range(2, 10):
-        known = named_versions.learn(known, version(number, 500.0 * number))
+        known = named_versions.merge(known, version(number, 500.0 * number))
     assert known[0].version == 2
 
 
