--- a/src/marlramp/core/catalog.py
+++ b/src/marlramp/core/catalog.py
@@ -222,7 +222,7 @@
           sign_ms: reading at which the store still served no entry.
           known_ms: when the reading became known, None for immediately.
         """
-        self._outage.note(bound_ms, sign_ms, known_ms)
+        self._outage.record_sign(bound_ms, sign_ms, known_ms)
         for known in self.targets.values():
             known.named = [self._outage.applied(each) for each in known.named]
 
--- a/src/marlramp/core/named_versions.py
+++ b/src/marlramp/core/named_versions.py
@@ -121,7 +121,7 @@
         """Whether an outage was observed."""
         return self.last_ms > float("-inf")
 
-    def note(
+    def record_sign(
         self, bound_ms: float, sign_ms: float, known_ms: float | None = None
     ) -> None:
         """Records a reading at which the store served no entry.
