--- a/src/marlramp/core/catalog.py
+++ b/src/marlramp/core/catalog.py
@@ -224,7 +224,7 @@
         """
         self._outage.record_sign(bound_ms, sign_ms, known_ms)
         for known in self.targets.values():
-            known.named = [self._outage.applied(each) for each in known.named]
+            known.named = [self._outage.apply_to(each) for each in known.named]
 
     def apply(
         self,
@@ -458,7 +458,7 @@
         received: named_versions.NamedVersion,
     ) -> list[named_versions.NamedVersion]:
         merged = named_versions.merge(versions, received)
-        return [self._outage.applied(each) for each in merged]
+        return [self._outage.apply_to(each) for each in merged]
 
     def _apply_replica(self, change: ReplicaChange, now_ms: float) -> bool:
         known = self._replicas.get(change.replica_id)
--- a/src/marlramp/core/named_versions.py
+++ b/src/marlramp/core/named_versions.py
@@ -136,7 +136,7 @@
         self.last_ms = max(self.last_ms, sign_ms)
         self.bound_ms = bound_ms
 
-    def applied(self, version: NamedVersion) -> NamedVersion:
+    def apply_to(self, version: NamedVersion) -> NamedVersion:
         """Returns a version, delayed if the outage began before it took effect.
 
         The time of a delayed version counts from the end of the outage.
--- a/tests/core/test_named_versions.py
+++ b/tests/core/test_named_versions.py
@@ -32,14 +32,14 @@
     outage = named_versions.Outage()
     for sign_ms in (20_000.0, 21_500.0, 23_000.0):
         outage.record_sign(BOUND_MS, sign_ms)
-    delayed = outage.applied(version(2, 15_000.0))
+    delayed = outage.apply_to(version(2, 15_000.0))
     assert delayed.counts_from_ms == 23_000.0
 
 
 def test_outage_does_not_delay_a_version_that_was_in_force_before() -> None:
     outage = named_versions.Outage()
     outage.record_sign(BOUND_MS, 20_000.0)
-    in_force = outage.applied(version(2, 11_000.0))
+    in_force = outage.apply_to(version(2, 11_000.0))
     assert in_force.counts_from_ms == 11_000.0
 
 
@@ -49,7 +49,7 @@
     outage = named_versions.Outage()
     for sign_ms in range(20_000, 32_000, 1_500):
         outage.record_sign(BOUND_MS, float(sign_ms))
-    delayed = outage.applied(version(2, 19_500.0))
+    delayed = outage.apply_to(version(2, 19_500.0))
     assert delayed.counts_from_ms == 30_500.0
 
 
@@ -74,11 +74,11 @@
 def test_version_found_to_be_in_force_is_not_delayed_by_an_outage() -> None:
     outage = named_versions.Outage()
     outage.record_sign(BOUND_MS, 20_000.0)
-    delayed = outage.applied(version(2, 13_000.0))
+    delayed = outage.apply_to(version(2, 13_000.0))
     # Another process reports that the version was announced before the
     # earliest time known so far.
     (merged,) = named_versions.merge([delayed], version(2, 9_000.0, 9_100.0))
-    assert outage.applied(merged).counts_from_ms == 9_000.0
+    assert outage.apply_to(merged).counts_from_ms == 9_000.0
 
 
 def test_version_not_yet_in_effect_is_kept_beside_many_newer_ones() -> None:
