--- a/src/marlramp/core/catalog.py
+++ b/src/marlramp/core/catalog.py
@@ -442,14 +442,14 @@
         if ages is not None and ages.is_sound:
             named = receipt.dated(ages)
         outage_ms = None
-        outage_told = outage_age_ms is not None
+        outage_reported = outage_age_ms is not None
         if outage_age_ms is not None:
             outage_ms = receipt.sent_after_ms - outage_age_ms
         if named is None and self._knew_before and self._outage.known:
             outage_ms = self._outage.last_ms
-            outage_told = False
+            outage_reported = False
         return named_versions.NamedVersion(
-            version, named, outage_ms, outage_told
+            version, named, outage_ms, outage_reported
         )
 
     def _merged(
--- a/src/marlramp/core/named_versions.py
+++ b/src/marlramp/core/named_versions.py
@@ -53,7 +53,7 @@
     version: int
     named: event_time.EventTime | None
     outage_ms: float | None = None
-    outage_told: bool = False
+    outage_reported: bool = False
 
     @property
     def counts_from_ms(self) -> float | None:
@@ -184,7 +184,7 @@
     if known.named is None:
         return received
     named = known.named.narrowed(received.named)
-    if known.outage_told:
+    if known.outage_reported:
         return NamedVersion(
             known.version, named, _merged_outage_ms(known, received), True
         )
--- a/tests/core/test_named_versions.py
+++ b/tests/core/test_named_versions.py
@@ -94,6 +94,8 @@
     # The report came long after the announcement and named an outage.
     receipt = event_time.unsolicited(4_000.0, 40_000.0)
     named = receipt.dated(event_time.Ages(20_000.0, 21_000.0))
-    reported = named_versions.NamedVersion(2, named, 35_000.0, outage_told=True)
+    reported = named_versions.NamedVersion(
+        2, named, 35_000.0, outage_reported=True
+    )
     assert reported.needs_refinement(BOUND_MS, 30.0, 40_100.0)
     assert not reported.needs_refinement(BOUND_MS, 30.0, 44_000.0)
