--- a/src/marlramp/core/store_completeness.py
+++ b/src/marlramp/core/store_completeness.py
@@ -57,7 +57,7 @@
         """The revision with the latest reading, of this or another reader."""
         return max([self.own, *self._reported], key=lambda each: each.at_ms)
 
-    def note_read(self, revision: int, requested_ms: float) -> None:
+    def record_read(self, revision: int, requested_ms: float) -> None:
         """Records a response that held all changes up to a revision.
 
         Args:
--- a/src/marlramp/direct/fleet/store_reader.py
+++ b/src/marlramp/direct/fleet/store_reader.py
@@ -187,7 +187,7 @@
         if waited and not snapshot.changes and snapshot.revision == after:
             self.completeness.note_waited(after, asked_ms, wait_ms)
         else:
-            self.completeness.note_read(snapshot.revision, asked_ms)
+            self.completeness.record_read(snapshot.revision, asked_ms)
         if new:
             self._publish(before, new)
             await asyncio.sleep(BATCH_MS / clock.MILLIS_PER_SECOND)
@@ -208,7 +208,7 @@
         )
         aged = catalog.Snapshot(snapshot.revision, self._aged(snapshot, now_ms))
         new = self._catalog.take_snapshot(aged, now_ms)
-        self.completeness.note_read(snapshot.revision, asked_ms)
+        self.completeness.record_read(snapshot.revision, asked_ms)
         if new:
             self._publish(before, new)
 
--- a/tests/core/test_store_completeness.py
+++ b/tests/core/test_store_completeness.py
@@ -10,7 +10,7 @@
 def test_change_is_no_older_than_the_response_that_lacked_it() -> None:
     known = store_completeness.StoreCompleteness()
     assert known.ages(5, NOW_MS) is None
-    known.note_read(4, 9_000.0)
+    known.record_read(4, 9_000.0)
     assert known.latest.revision == 4
     assert known.ages(5, NOW_MS) == event_time.Ages(0.0, 1_000.0)
     assert known.ages(4, NOW_MS) is None
