--- a/src/marlramp/core/store_completeness.py
+++ b/src/marlramp/core/store_completeness.py
@@ -66,7 +66,7 @@
         """
         self.own = Complete(revision, requested_ms)
 
-    def note_waited(
+    def record_empty_watch(
         self, revision: int, requested_ms: float, wait_ms: float
     ) -> None:
         """Records that a watch returned no change during its whole wait.
--- a/src/marlramp/direct/fleet/store_reader.py
+++ b/src/marlramp/direct/fleet/store_reader.py
@@ -185,7 +185,7 @@
             self._log_changes(snapshot, asked_ms, now_ms)
         waited = now_ms - asked_ms >= wait_ms
         if waited and not snapshot.changes and snapshot.revision == after:
-            self.completeness.note_waited(after, asked_ms, wait_ms)
+            self.completeness.record_empty_watch(after, asked_ms, wait_ms)
         else:
             self.completeness.record_read(snapshot.revision, asked_ms)
         if new:
--- a/tests/core/test_store_completeness.py
+++ b/tests/core/test_store_completeness.py
@@ -18,7 +18,7 @@
 
 def test_watch_without_changes_proves_its_whole_wait() -> None:
     known = store_completeness.StoreCompleteness()
-    known.note_waited(4, 8_900.0, 1_000.0)
+    known.record_empty_watch(4, 8_900.0, 1_000.0)
     assert known.ages(5, NOW_MS) == event_time.Ages(0.0, 100.0)
 
 
