--- a/src/marlramp/core/store_completeness.py
+++ b/src/marlramp/core/store_completeness.py
@@ -78,7 +78,7 @@
         """
         self.own = Complete(revision, requested_ms + wait_ms)
 
-    def note_heard(self, complete: Complete) -> None:
+    def record_report(self, complete: Complete) -> None:
         """Records the revision that another reader reported."""
         self._reported.append(complete)
 
--- a/src/marlramp/direct/fleet/entry_fleet.py
+++ b/src/marlramp/direct/fleet/entry_fleet.py
@@ -282,7 +282,7 @@
         complete = store_completeness.Complete(
             answer.complete_revision, asked_ms - age_ms
         )
-        self._reader.completeness.note_heard(complete)
+        self._reader.completeness.record_report(complete)
 
     def _ask_readers(self) -> None:
         """Asks what the store holds, if this entry may have to stand in."""
