--- a/src/marlramp/core/store_completeness.py
+++ b/src/marlramp/core/store_completeness.py
@@ -19,7 +19,7 @@
 """Maximum number of reports from other readers kept, the newest ones."""
 
 
-class Complete(msgspec.Struct, frozen=True):
+class CompleteRevision(msgspec.Struct, frozen=True):
     """The revision that the store had reached at a reading of the own clock.
 
     Attributes:
@@ -47,13 +47,13 @@
 
     def __init__(self) -> None:
         """Starts without any known revision."""
-        self.own = Complete()
-        self._reported: collections.deque[Complete] = collections.deque(
+        self.own = CompleteRevision()
+        self._reported: collections.deque[CompleteRevision] = collections.deque(
             maxlen=REPORTS_KEPT
         )
 
     @property
-    def latest(self) -> Complete:
+    def latest(self) -> CompleteRevision:
         """The revision with the latest reading, of this or another reader."""
         return max([self.own, *self._reported], key=lambda each: each.at_ms)
 
@@ -64,7 +64,7 @@
           revision: the revision.
           requested_ms: when the request was sent.
         """
-        self.own = Complete(revision, requested_ms)
+        self.own = CompleteRevision(revision, requested_ms)
 
     def record_empty_watch(
         self, revision: int, requested_ms: float, wait_ms: float
@@ -76,9 +76,9 @@
           requested_ms: when the watch was sent.
           wait_ms: how long the store waited for a change.
         """
-        self.own = Complete(revision, requested_ms + wait_ms)
+        self.own = CompleteRevision(revision, requested_ms + wait_ms)
 
-    def record_report(self, complete: Complete) -> None:
+    def record_report(self, complete: CompleteRevision) -> None:
         """Records the revision that another reader reported."""
         self._reported.append(complete)
 
--- a/src/marlramp/direct/fleet/entry_fleet.py
+++ b/src/marlramp/direct/fleet/entry_fleet.py
@@ -259,7 +259,7 @@
         self, name: str, request: fleet_messages.VersionAgesRequest
     ) -> None:
         answer = self._ages.answer_to(request)
-        complete = store_completeness.Complete()
+        complete = store_completeness.CompleteRevision()
         if self._reader is not None:
             complete = self._reader.completeness.latest
         if complete.is_known:
@@ -279,7 +279,7 @@
             return
         if not age_ms >= 0.0:
             return
-        complete = store_completeness.Complete(
+        complete = store_completeness.CompleteRevision(
             answer.complete_revision, asked_ms - age_ms
         )
         self._reader.completeness.record_report(complete)
--- a/tests/core/test_store_completeness.py
+++ b/tests/core/test_store_completeness.py
@@ -24,8 +24,8 @@
 
 def test_newer_report_of_a_reader_does_not_hide_an_older_one() -> None:
     known = store_completeness.StoreCompleteness()
-    known.record_report(store_completeness.Complete(4, 9_000.0))
-    known.record_report(store_completeness.Complete(5, 9_500.0))
+    known.record_report(store_completeness.CompleteRevision(4, 9_000.0))
+    known.record_report(store_completeness.CompleteRevision(5, 9_500.0))
     assert known.ages(5, NOW_MS) == event_time.Ages(0.0, 1_000.0)
     assert known.ages(6, NOW_MS) == event_time.Ages(0.0, 500.0)
     assert known.latest.revision == 5
