--- a/src/marlramp/core/store_silence.py
+++ b/src/marlramp/core/store_silence.py
@@ -54,7 +54,7 @@
         self._query_ms = float("-inf")
         self._sign_ms: float | None = None
 
-    def is_question_due(
+    def is_query_due(
         self, asked_ms: float | None, now_ms: clock.Millis
     ) -> bool:
         """Returns whether to query another process now, and records that it is.
--- a/src/marlramp/direct/fleet/entry_fleet.py
+++ b/src/marlramp/direct/fleet/entry_fleet.py
@@ -430,7 +430,7 @@
         """
         asked_ms = None if self._reader is None else self._reader.retried_ms
         now_ms = self._clock.now_ms()
-        if not self._silence.is_question_due(asked_ms, now_ms):
+        if not self._silence.is_query_due(asked_ms, now_ms):
             return
         alive = self.sync.alive(members.MemberKind.ENTRY)
         far = [each for each in alive if not self.sync.is_near(each)]
--- a/tests/core/test_store_silence.py
+++ b/tests/core/test_store_silence.py
@@ -70,8 +70,8 @@
     queried = [
         now_ms
         for now_ms in range(5_000, 6_000, 100)
-        if silence.is_question_due(4_950.0, clock.Millis(now_ms))
+        if silence.is_query_due(4_950.0, clock.Millis(now_ms))
     ]
     assert queried == [5_000, 5_400, 5_800]
-    assert silence.is_question_due(5_850.0, clock.Millis(5_900.0))
-    assert not silence.is_question_due(None, clock.Millis(9_000.0))
+    assert silence.is_query_due(5_850.0, clock.Millis(5_900.0))
+    assert not silence.is_query_due(None, clock.Millis(9_000.0))
