--- a/src/marlramp/core/store_silence.py
+++ b/src/marlramp/core/store_silence.py
@@ -72,7 +72,7 @@
         self._query_ms = now_ms
         return True
 
-    def note_answer(self, asked_ms: float, now_ms: clock.Millis) -> None:
+    def record_answer(self, asked_ms: float, now_ms: clock.Millis) -> None:
         """Records that another process answered a query.
 
         Args:
--- a/src/marlramp/direct/fleet/entry_fleet.py
+++ b/src/marlramp/direct/fleet/entry_fleet.py
@@ -273,7 +273,7 @@
     def _take_ages(self, name: str, answer: fleet_messages.VersionAges) -> None:
         asked_ms = self._ages.on_answer(name, answer)
         if asked_ms is not None:
-            self._silence.note_answer(asked_ms, self._clock.now_ms())
+            self._silence.record_answer(asked_ms, self._clock.now_ms())
         age_ms = answer.complete_age_ms
         if asked_ms is None or age_ms is None or self._reader is None:
             return
--- a/tests/core/test_store_silence.py
+++ b/tests/core/test_store_silence.py
@@ -13,7 +13,7 @@
 def sign_ms(*exchanges: tuple[float, float]) -> float | None:
     silence = store_silence.StoreSilence()
     for asked_ms, answered_ms in exchanges:
-        silence.note_answer(asked_ms, clock.Millis(answered_ms))
+        silence.record_answer(asked_ms, clock.Millis(answered_ms))
     return silence.sign_ms(CALL)
 
 
@@ -51,13 +51,13 @@
     silence = store_silence.StoreSilence()
     unopened = store_silence.SilentCall(5_000.0, 5_400.0)
     assert silence.sign_ms(unopened) is None
-    silence.note_answer(5_100.0, clock.Millis(5_105.0))
+    silence.record_answer(5_100.0, clock.Millis(5_105.0))
     assert silence.sign_ms(unopened) == 5_000.0
 
 
 def test_outage_lasts_until_the_store_responds() -> None:
     silence = store_silence.StoreSilence()
-    silence.note_answer(5_050.0, clock.Millis(5_055.0))
+    silence.record_answer(5_050.0, clock.Millis(5_055.0))
     silence.sign_ms(CALL)
     later = store_silence.SilentCall(6_500.0, 7_500.0)
     assert silence.sign_ms(later) == CALL.asked_ms
