--- a/src/marlramp/core/store_silence.py
+++ b/src/marlramp/core/store_silence.py
@@ -81,7 +81,7 @@
         """
         self._exchanges.append(_Exchange(asked_ms, now_ms))
 
-    def sign_ms(self, call: SilentCall | None) -> float | None:
+    def outage_sign_ms(self, call: SilentCall | None) -> float | None:
         """Returns a reading at which the store did not serve this process.
 
         Args:
--- a/src/marlramp/direct/fleet/entry_fleet.py
+++ b/src/marlramp/direct/fleet/entry_fleet.py
@@ -413,7 +413,7 @@
 
     def _note_store(self) -> None:
         call = None if self._reader is None else self._reader.silent_call
-        silent_ms = self._silence.sign_ms(call)
+        silent_ms = self._silence.outage_sign_ms(call)
         if silent_ms is not None:
             alive = self.sync.alive(members.MemberKind.ENTRY)
             others = {member.vm_id for member in alive}
