--- a/src/marlramp/core/store_silence.py
+++ b/src/marlramp/core/store_silence.py
@@ -34,7 +34,7 @@
       ended_ms: when the call timed out or failed.
     """
 
-    asked_ms: float
+    requested_ms: float
     ended_ms: float
 
 
@@ -93,16 +93,16 @@
         if call is None:
             self._sign_ms = None
         elif self._is_store_silent(call):
-            self._sign_ms = call.asked_ms
+            self._sign_ms = call.requested_ms
         return self._sign_ms
 
     def _is_store_silent(self, call: SilentCall) -> bool:
         by_ms = call.ended_ms - RESPONSE_SPREAD_MS
-        if by_ms <= call.asked_ms:
+        if by_ms <= call.requested_ms:
             # A call that ended this soon was refused or reset, and the link
             # delivered that at once.
             return True
         return any(
-            call.asked_ms <= each.requested_ms and each.answered_ms <= by_ms
+            call.requested_ms <= each.requested_ms and each.answered_ms <= by_ms
             for each in self._exchanges
         )
--- a/tests/core/test_store_silence.py
+++ b/tests/core/test_store_silence.py
@@ -7,7 +7,7 @@
 from marlramp import clock
 from marlramp.core import store_silence
 
-CALL = store_silence.SilentCall(asked_ms=5_000.0, ended_ms=6_000.0)
+CALL = store_silence.SilentCall(requested_ms=5_000.0, ended_ms=6_000.0)
 
 
 def sign_ms(*exchanges: tuple[float, float]) -> float | None:
@@ -37,7 +37,7 @@
 
 
 def test_store_that_is_silent_while_others_answer_is_unavailable() -> None:
-    assert sign_ms((5_050.0, 5_055.0)) == CALL.asked_ms
+    assert sign_ms((5_050.0, 5_055.0)) == CALL.requested_ms
 
 
 def test_refused_call_is_a_sign_without_an_exchange() -> None:
@@ -60,7 +60,7 @@
     silence.record_answer(5_050.0, clock.Millis(5_055.0))
     silence.outage_sign_ms(CALL)
     later = store_silence.SilentCall(6_500.0, 7_500.0)
-    assert silence.outage_sign_ms(later) == CALL.asked_ms
+    assert silence.outage_sign_ms(later) == CALL.requested_ms
     assert silence.outage_sign_ms(None) is None
     assert silence.outage_sign_ms(later) is None
 
--- a/tests/direct/fleet/test_store_outage.py
+++ b/tests/direct/fleet/test_store_outage.py
@@ -54,7 +54,7 @@
 
     @property
     def silent_ms(self) -> float | None:
-        return None if self.last is None else self.last.asked_ms
+        return None if self.last is None else self.last.requested_ms
 
     @property
     def silent_call(self) -> store_silence.SilentCall | None:
--- a/tests/direct/fleet/test_store_reader.py
+++ b/tests/direct/fleet/test_store_reader.py
@@ -274,8 +274,8 @@
     source = FailingStore(failure(answering=False), answering=False)
     reader = read(source, catalog.Catalog(), 1.0)
     assert reader.silent_call is not None
-    assert reader.silent_call.asked_ms > source.failed_ms
-    assert reader.silent_call.ended_ms >= reader.silent_call.asked_ms
+    assert reader.silent_call.requested_ms > source.failed_ms
+    assert reader.silent_call.ended_ms >= reader.silent_call.requested_ms
 
 
 def test_call_that_was_not_made_is_no_sign_of_an_outage() -> None:
