--- a/src/marlramp/core/catalog.py
+++ b/src/marlramp/core/catalog.py
@@ -119,7 +119,7 @@
         """By when the newest version was announced, None if not known."""
         return self.named[-1].named_by_ms
 
-    def binds_first_ms(self, version: int) -> float | None:
+    def next_counts_from_ms(self, version: int) -> float | None:
         """Returns when the time of the next newer version starts to count.
 
         Returns:
--- a/src/marlramp/direct/agent_daemon.py
+++ b/src/marlramp/direct/agent_daemon.py
@@ -277,7 +277,7 @@
         """Returns the turns of a version, None if its age is not known."""
         target = self._weights.target(wanted.model)
         held = 0 if self._report is None else self._report.weights
-        named_ms = None if target is None else target.binds_first_ms(held)
+        named_ms = None if target is None else target.next_counts_from_ms(held)
         if named_ms is None:
             return None
         engine = self._weights.engine
--- a/tests/direct/fleet/test_version_ages.py
+++ b/tests/direct/fleet/test_version_ages.py
@@ -403,7 +403,7 @@
     assert other.known.apply(late, now_ms, hearing) == []
     named = other.named(2)
     assert named.earliest_ms <= first_ms <= named.latest_ms
-    assert other.known.targets["m"].binds_first_ms(1) == named.earliest_ms
+    assert other.known.targets["m"].next_counts_from_ms(1) == named.earliest_ms
 
 
 def test_version_between_two_others_binds_where_only_the_newest_was_news(
@@ -415,7 +415,7 @@
     time.advance(version_ages.WAY_MAX_MS + 1_000.0)
     named_at(reader, 3)
     late.hear(reader.known, way_ms=20.0)
-    bound_ms = late.known.targets["m"].binds_first_ms(1)
+    bound_ms = late.known.targets["m"].next_counts_from_ms(1)
     assert bound_ms is not None
     assert bound_ms <= first_ms
     named = late.named(2)
@@ -444,7 +444,7 @@
     other.sync.on_news("entry-2", news)
     named = other.known.targets["m"].named
     assert [each.version for each in named] == [2, 3]
-    bound_ms = other.known.targets["m"].binds_first_ms(1)
+    bound_ms = other.known.targets["m"].next_counts_from_ms(1)
     assert bound_ms is not None
     assert bound_ms <= first_ms
 
