--- a/src/marlramp/core/catalog.py
+++ b/src/marlramp/core/catalog.py
@@ -204,7 +204,7 @@
             return None
         return known.last
 
-    def store_failed(self, now_ms: clock.Millis) -> None:
+    def record_store_failure(self, now_ms: clock.Millis) -> None:
         """Records that the store is unreliable at `now_ms`."""
         self._store_failed_ms = now_ms
 
--- a/src/marlramp/direct/fleet/store_reader.py
+++ b/src/marlramp/direct/fleet/store_reader.py
@@ -224,7 +224,7 @@
             logs.log("store_reached", revision=self._catalog.revision)
         if self._failing:
             # The store came back after the last call that failed.
-            self._catalog.store_failed(now_ms)
+            self._catalog.record_store_failure(now_ms)
         self._failing = False
         self._silent_call = None
         self._answered_ms = now_ms
@@ -291,6 +291,6 @@
         if isinstance(error, clients.UselessAnswerError):
             self._reads_all = True
         self._totals.add(counters.CounterName.PLATFORM_READS, "failed")
-        self._catalog.store_failed(self._clock.now_ms())
+        self._catalog.record_store_failure(self._clock.now_ms())
         wait_ms = random.uniform(RETRY_MIN_MS, RETRY_MAX_MS)
         await asyncio.sleep(wait_ms / clock.MILLIS_PER_SECOND)
--- a/tests/core/test_catalog.py
+++ b/tests/core/test_catalog.py
@@ -67,7 +67,7 @@
     known: catalog.Catalog, make_replica: MakeReplica, time: clock.ManualClock
 ) -> None:
     known.apply([listed(1, make_replica())], time.now_ms())
-    known.store_failed(time.now_ms())
+    known.record_store_failure(time.now_ms())
     known.take_snapshot(catalog.Snapshot(4, []), time.now_ms())
     assert known.replica("i-1") is not None
     time.advance(1_000.0)
@@ -82,7 +82,7 @@
     known: catalog.Catalog, make_replica: MakeReplica, time: clock.ManualClock
 ) -> None:
     known.apply([listed(1, make_replica())], time.now_ms())
-    known.store_failed(time.now_ms())
+    known.record_store_failure(time.now_ms())
     known.take_snapshot(catalog.Snapshot(4, []), time.now_ms())
     time.advance(catalog.REPLICA_RETURN_MS + 1.0)
     assert known.tick(time.now_ms()) == ["i-1"]
--- a/tests/platform/test_other_writers.py
+++ b/tests/platform/test_other_writers.py
@@ -111,14 +111,14 @@
     known = catalog.Catalog()
     known.take_snapshot(snapshot_of({"i-1": _good(1)}), 0.0)
     if store_fails:
-        known.store_failed(10.0)
+        known.record_store_failure(10.0)
     (change,) = snapshot_of({"i-1": b"\xff"}).changes
     known.apply([msgspec.structs.replace(change, revision=5)], 20.0)
     assert known.replicas() == []
     (told,) = known.changes_after(0, 20.0)
     other = catalog.Catalog()
     other.take_snapshot(snapshot_of({"i-1": _good(1)}), 0.0)
-    other.store_failed(10.0)
+    other.record_store_failure(10.0)
     other.apply([told], 20.0)
     assert other.replicas() == []
     (change,) = snapshot_of({"i-1": _good(1)}).changes
