--- a/src/marlramp/core/catalog.py
+++ b/src/marlramp/core/catalog.py
@@ -208,7 +208,7 @@
         """Records that the store is unreliable at `now_ms`."""
         self._store_failed_ms = now_ms
 
-    def store_down(
+    def record_outage_sign(
         self, bound_ms: float, sign_ms: float, known_ms: float | None = None
     ) -> None:
         """Records a sign that the store serves no entry.
--- a/src/marlramp/direct/fleet/catalog_sync.py
+++ b/src/marlramp/direct/fleet/catalog_sync.py
@@ -132,7 +132,7 @@
         down = silent_ms is not None
         if silent_ms is not None:
             now_ms = self._clock.now_ms()
-            self._catalog.store_down(bound_ms, silent_ms, now_ms)
+            self._catalog.record_outage_sign(bound_ms, silent_ms, now_ms)
         if down is not self._store_down:
             self._store_down = down
             logs.log("store_serves_none" if down else "store_serves")
--- a/tests/core/test_catalog.py
+++ b/tests/core/test_catalog.py
@@ -183,7 +183,7 @@
     known.apply([named(2, 2)], time.now_ms())
     for _ in range(60):
         time.advance(100.0)
-        known.store_down(BOUND_MS, time.now_ms())
+        known.record_outage_sign(BOUND_MS, time.now_ms())
     time.advance(200.0)
     # A complete read 6.2 s after the previous response finds version 3.
     known.apply([named(3, 3, age_ms=6_200.0)], time.now_ms())
@@ -199,7 +199,7 @@
     time.advance(100_000.0)
     known.apply([named(2, 2)], time.now_ms())
     time.advance(BOUND_MS + 1.0)
-    known.store_down(BOUND_MS, time.now_ms())
+    known.record_outage_sign(BOUND_MS, time.now_ms())
     assert oldest(known, time.now_ms()) == 2
 
 
@@ -210,7 +210,7 @@
     known.apply([named(1, 1, age_ms=50_000.0)], time.now_ms())
     for _ in range(60):
         time.advance(100.0)
-        known.store_down(BOUND_MS, time.now_ms())
+        known.record_outage_sign(BOUND_MS, time.now_ms())
     time.advance(200.0)
     # Reported by an entry that started meanwhile and found the version at its
     # first read.
@@ -227,7 +227,7 @@
     known.apply([catalog.ConfigChange(1, make_config())], time.now_ms())
     for _ in range(60):
         time.advance(100.0)
-        known.store_down(BOUND_MS, time.now_ms())
+        known.record_outage_sign(BOUND_MS, time.now_ms())
     time.advance(200.0)
     known.apply([named(2, 2, age_ms=None)], time.now_ms())
     time.advance(BOUND_MS - 1_500.0)
@@ -240,7 +240,7 @@
     known: catalog.Catalog, make_config: MakeConfig, time: clock.ManualClock
 ) -> None:
     time.advance(100_000.0)
-    known.store_down(BOUND_MS, time.now_ms())
+    known.record_outage_sign(BOUND_MS, time.now_ms())
     time.advance(200.0)
     # The first read finds the configuration and the version, which may have
     # been in force for a long time.
--- a/tests/direct/fleet/test_version_ages.py
+++ b/tests/direct/fleet/test_version_ages.py
@@ -566,7 +566,7 @@
     read_ms = time.now_ms()
     for _ in range(16):
         time.advance(500.0)
-        entry.known.store_down(BOUND_MS, time.now_ms())
+        entry.known.record_outage_sign(BOUND_MS, time.now_ms())
     outage_ms = time.now_ms()
     ages = event_time.Ages(0.0, outage_ms - read_ms)
     change = catalog.TargetChange(2, TARGET, ages)
@@ -607,7 +607,7 @@
     named_at(reader)
     for _ in range(4):
         time.advance(500.0)
-        reader.known.store_down(BOUND_MS, time.now_ms())
+        reader.known.record_outage_sign(BOUND_MS, time.now_ms())
     outage_ms = time.now_ms()
     other.hear(reader.known, way_ms=version_ages.WAY_MAX_MS + 1_000.0)
     other.exchange(reader, there_ms=5.0, back_ms=5.0)
