--- a/src/marlramp/core/catalog.py
+++ b/src/marlramp/core/catalog.py
@@ -273,7 +273,7 @@
             for named in known.named
         ]
 
-    def learn_ages(
+    def merge_ages(
         self,
         versions: Iterable[named_versions.AgedVersion],
         receipt: event_time.Receipt,
--- a/src/marlramp/direct/fleet/version_ages.py
+++ b/src/marlramp/direct/fleet/version_ages.py
@@ -137,7 +137,7 @@
             named = (aged.model, aged.version)
             self._answers[named] = self._answers.get(named, 0) + 1
         hearing = event_time.Receipt(asked_ms, now_ms)
-        self._catalog.learn_ages(answer.versions, hearing)
+        self._catalog.merge_ages(answer.versions, hearing)
         for (model, version), doubt_ms in self._doubts().items():
             if doubt_ms >= before.get((model, version), float("inf")):
                 continue
