--- a/src/marlramp/core/catalog.py
+++ b/src/marlramp/core/catalog.py
@@ -298,7 +298,7 @@
         """Records that all changes up to `revision` have been applied."""
         self.revision = max(self.revision, revision)
 
-    def take_snapshot(
+    def apply_snapshot(
         self, snapshot: Snapshot, now_ms: clock.Millis
     ) -> list[Change]:
         """Applies a complete read of the store.
--- a/src/marlramp/direct/fleet/store_reader.py
+++ b/src/marlramp/direct/fleet/store_reader.py
@@ -207,7 +207,7 @@
             known_revision=before,
         )
         aged = catalog.Snapshot(snapshot.revision, self._aged(snapshot, now_ms))
-        new = self._catalog.take_snapshot(aged, now_ms)
+        new = self._catalog.apply_snapshot(aged, now_ms)
         self.completeness.record_read(snapshot.revision, asked_ms)
         if new:
             self._publish(before, new)
--- a/tests/core/test_catalog.py
+++ b/tests/core/test_catalog.py
@@ -68,7 +68,7 @@
 ) -> None:
     known.apply([listed(1, make_replica())], time.now_ms())
     known.record_store_failure(time.now_ms())
-    known.take_snapshot(catalog.Snapshot(4, []), time.now_ms())
+    known.apply_snapshot(catalog.Snapshot(4, []), time.now_ms())
     assert known.replica("i-1") is not None
     time.advance(1_000.0)
     assert known.tick(time.now_ms()) == []
@@ -83,7 +83,7 @@
 ) -> None:
     known.apply([listed(1, make_replica())], time.now_ms())
     known.record_store_failure(time.now_ms())
-    known.take_snapshot(catalog.Snapshot(4, []), time.now_ms())
+    known.apply_snapshot(catalog.Snapshot(4, []), time.now_ms())
     time.advance(catalog.REPLICA_RETURN_MS + 1.0)
     assert known.tick(time.now_ms()) == ["i-1"]
     assert known.replicas() == []
@@ -246,7 +246,7 @@
     # been in force for a long time.
     config = catalog.ConfigChange(1, make_config())
     snapshot = catalog.Snapshot(2, [config, named(2, 2, age_ms=None)])
-    known.take_snapshot(snapshot, time.now_ms())
+    known.apply_snapshot(snapshot, time.now_ms())
     assert oldest(known, time.now_ms()) == 2
 
 
--- a/tests/platform/test_other_writers.py
+++ b/tests/platform/test_other_writers.py
@@ -95,7 +95,7 @@
     entries = {f"bad-{n}": data for n, data in enumerate(bad)}
     entries |= {f"good-{n}": _good(n) for n in range(good)}
     known = catalog.Catalog()
-    known.take_snapshot(snapshot_of(entries), 0.0)
+    known.apply_snapshot(snapshot_of(entries), 0.0)
     names = {replica.replica_id for replica in known.replicas()}
     assert names == {f"good-{n}" for n in range(good)}
 
@@ -109,7 +109,7 @@
     store_fails: bool,
 ) -> None:
     known = catalog.Catalog()
-    known.take_snapshot(snapshot_of({"i-1": _good(1)}), 0.0)
+    known.apply_snapshot(snapshot_of({"i-1": _good(1)}), 0.0)
     if store_fails:
         known.record_store_failure(10.0)
     (change,) = snapshot_of({"i-1": b"\xff"}).changes
@@ -117,7 +117,7 @@
     assert known.replicas() == []
     (told,) = known.changes_after(0, 20.0)
     other = catalog.Catalog()
-    other.take_snapshot(snapshot_of({"i-1": _good(1)}), 0.0)
+    other.apply_snapshot(snapshot_of({"i-1": _good(1)}), 0.0)
     other.record_store_failure(10.0)
     other.apply([told], 20.0)
     assert other.replicas() == []
