--- a/src/marlramp/core/gossip.py
+++ b/src/marlramp/core/gossip.py
@@ -1,4 +1,4 @@
-"""Gossip queue: updates that are on their way to all entries.
+"""Gossip queue of updates that are spreading to all entries.
 
 An entry forwards each update that is new to it to a few random entries, a few
 times (epidemic dissemination). Some entries are missed by chance; they receive
--- a/src/marlramp/core/named_versions.py
+++ b/src/marlramp/core/named_versions.py
@@ -43,8 +43,8 @@
 
     Attributes:
       version: number of the version.
-      named: when the version was announced, None if it was already in the store
-        at a first read, so that its age is not known.
+      named: when the version was announced, None if that is not known because
+        the version was already in the store at a first read.
       outage_ms: the last reading at which the store was down before the version
         took effect, None if the store was not down.
       outage_reported: whether only other processes observed that outage.
--- a/src/marlramp/core/reader_election.py
+++ b/src/marlramp/core/reader_election.py
@@ -51,7 +51,7 @@
 
 
 class ReaderElection:
-    """Elects whether this entry watches the store."""
+    """Decides whether this entry is elected to watch the store."""
 
     def __init__(
         self,
--- a/src/marlramp/core/roster.py
+++ b/src/marlramp/core/roster.py
@@ -42,7 +42,7 @@
 
     Attributes:
       update: the newest update on the process.
-      since_ms: when this process learnt the update.
+      since_ms: when this process applied the update.
       heard_ms: when this process last received something from the process
         itself.
     """
@@ -163,7 +163,7 @@
         """Suspects a process that did not respond.
 
         A process that is already down here stays down. The suspicion is
-        returned all the same, for entries that consider the process alive.
+        returned nevertheless, for entries that consider the process alive.
 
         Returns:
           The update to forward, None if the process is not known.
--- a/src/marlramp/core/store_silence.py
+++ b/src/marlramp/core/store_silence.py
@@ -1,6 +1,6 @@
 """Distinguishes an unavailable store from a congested link of this process.
 
-Both look alike to a call: no response arrives. A link delivers data in the
+In both cases a call receives no response. A link delivers data in the
 order in which it was sent. If another process answered a query that was sent
 after the call, well before the call was given up, then the call had left this
 process, and a response of the store would have arrived too.
--- a/tests/core/test_store_silence.py
+++ b/tests/core/test_store_silence.py
@@ -26,7 +26,7 @@
         [(6_010.0, 6_015.0)],
         [(5_050.0, 5_900.0)],
     ],
-    ids=["none", "behind the queue", "before", "after", "too late to tell"],
+    ids=["none", "behind the queue", "before", "after", "too late"],
 )
 def test_silence_on_a_congested_link_is_no_outage(
     exchanges: list[tuple[float, float]],
