--- a/src/marlramp/core/reader_election.py
+++ b/src/marlramp/core/reader_election.py
@@ -26,7 +26,7 @@
 """Number of entries after the readers that query them for the store's revision,
 so that they know the age of a change when they take over."""
 
-READER_HEARD_MS = 1_100.0
+READER_BEACON_AGE_MS = 1_100.0
 READER_STORE_AGE_MS = 2_200.0
 """Maximum age of a reader's last beacon, and of the store's last response to
 the reader, for the reader to count as working. The second is two waits of a
@@ -102,7 +102,7 @@
             self._last_working_ms = now_ms
         elif not any(self._works(other, now_ms) for other in self._beacons):
             # No reader works, so standbys need not wait until beacons stop.
-            silent_since_ms = now_ms - READER_HEARD_MS
+            silent_since_ms = now_ms - READER_BEACON_AGE_MS
             self._last_working_ms = min(self._last_working_ms, silent_since_ms)
 
     def is_reader(
@@ -129,7 +129,7 @@
             self._has_taken_over = False
         elif not self._has_taken_over:
             silent_ms = now_ms - max(self._last_working_ms, self._started_ms)
-            wait_ms = READER_HEARD_MS + _standby_wait_ms(rank)
+            wait_ms = READER_BEACON_AGE_MS + _standby_wait_ms(rank)
             self._has_taken_over = silent_ms >= wait_ms
         return self._has_taken_over
 
@@ -197,7 +197,7 @@
         return (
             beacon is not None
             and beacon.served
-            and now_ms - beacon.heard_ms < READER_HEARD_MS
+            and now_ms - beacon.heard_ms < READER_BEACON_AGE_MS
             and now_ms - beacon.answered_ms < READER_STORE_AGE_MS
         )
 
--- a/tests/core/test_reader_election.py
+++ b/tests/core/test_reader_election.py
@@ -89,7 +89,8 @@
     ordered = fleet.elections[NAMES[0]]._order(fleet.others(NAMES[0]))
     fleet.served = {ordered[-1]}
     waited_ms = (
-        reader_election.READER_HEARD_MS + 8 * reader_election.STANDBY_STEP_MS
+        reader_election.READER_BEACON_AGE_MS
+        + 8 * reader_election.STANDBY_STEP_MS
     )
     fleet.run(waited_ms)
     assert ordered[-1] in fleet.readers()
