--- a/src/marlramp/core/catalog.py
+++ b/src/marlramp/core/catalog.py
@@ -439,7 +439,7 @@
         outage, the version's time counts from the end of that outage.
         """
         named = None
-        if ages is not None and ages.is_sound:
+        if ages is not None and ages.is_valid:
             named = receipt.dated(ages)
         outage_ms = None
         outage_reported = outage_age_ms is not None
--- a/src/marlramp/core/event_time.py
+++ b/src/marlramp/core/event_time.py
@@ -30,7 +30,7 @@
     assumed: bool = False
 
     @property
-    def is_sound(self) -> bool:
+    def is_valid(self) -> bool:
         """Whether the bounds are non-negative and in order."""
         return 0.0 <= self.least_ms <= self.most_ms
 
