--- a/src/marlramp/core/store_silence.py
+++ b/src/marlramp/core/outage_detector.py
@@ -43,7 +43,7 @@
     answered_ms: float
 
 
-class StoreSilence:
+class OutageDetector:
     """Decides whether calls without a response are a sign of an outage."""
 
     def __init__(self) -> None:
--- a/src/marlramp/direct/fleet/entry_fleet.py
+++ b/src/marlramp/direct/fleet/entry_fleet.py
@@ -14,11 +14,11 @@
 from marlramp.core import catalog
 from marlramp.core import crash_record
 from marlramp.core import members
+from marlramp.core import outage_detector
 from marlramp.core import reader_election
 from marlramp.core import replica_table
 from marlramp.core import replica_view
 from marlramp.core import store_completeness
-from marlramp.core import store_silence
 from marlramp.direct.fleet import agent_guide
 from marlramp.direct.fleet import catalog_sync
 from marlramp.direct.fleet import crash_sync
@@ -110,7 +110,7 @@
             known, self.sync.send, self._age_peers, time
         )
         self._standby_asked_ms = float("-inf")
-        self._silence = store_silence.StoreSilence()
+        self._silence = outage_detector.OutageDetector()
         self._rng = random.Random()
         self._catalog_sync = catalog_sync.CatalogSync(
             known, self.sync, self._changed, time, self._ages.note_news
--- a/src/marlramp/direct/fleet/store_reader.py
+++ b/src/marlramp/direct/fleet/store_reader.py
@@ -21,8 +21,8 @@
 from marlramp import counters
 from marlramp import logs
 from marlramp.core import catalog
+from marlramp.core import outage_detector
 from marlramp.core import store_completeness
-from marlramp.core import store_silence
 from marlramp.platform import clients
 from marlramp.platform import store
 
@@ -103,7 +103,7 @@
         self._failing = False
         self._reads_all = False
         self._asked_ms: float | None = None
-        self._silent_call: store_silence.SilentCall | None = None
+        self._silent_call: outage_detector.SilentCall | None = None
         self.completeness = store_completeness.StoreCompleteness()
         self.reading = False
 
@@ -128,7 +128,7 @@
         return self.reading and not self.failing
 
     @property
-    def silent_call(self) -> store_silence.SilentCall | None:
+    def silent_call(self) -> outage_detector.SilentCall | None:
         """The last call that the store gave no answer to.
 
         None if it has answered since.
@@ -276,7 +276,7 @@
             raise
         except clients.PlatformError as error:
             if self._failing and not error.answering:
-                self._silent_call = store_silence.SilentCall(
+                self._silent_call = outage_detector.SilentCall(
                     asked_ms, self._clock.now_ms()
                 )
             raise
--- a/tests/core/test_store_silence.py
+++ b/tests/core/test_outage_detector.py
@@ -5,13 +5,13 @@
 import pytest
 
 from marlramp import clock
-from marlramp.core import store_silence
+from marlramp.core import outage_detector
 
-CALL = store_silence.SilentCall(requested_ms=5_000.0, ended_ms=6_000.0)
+CALL = outage_detector.SilentCall(requested_ms=5_000.0, ended_ms=6_000.0)
 
 
 def sign_ms(*exchanges: tuple[float, float]) -> float | None:
-    silence = store_silence.StoreSilence()
+    silence = outage_detector.OutageDetector()
     for asked_ms, answered_ms in exchanges:
         silence.record_answer(asked_ms, clock.Millis(answered_ms))
     return silence.outage_sign_ms(CALL)
@@ -41,32 +41,32 @@
 
 
 def test_refused_call_is_a_sign_without_an_exchange() -> None:
-    silence = store_silence.StoreSilence()
-    refused = store_silence.SilentCall(5_000.0, 5_002.0)
+    silence = outage_detector.OutageDetector()
+    refused = outage_detector.SilentCall(5_000.0, 5_002.0)
     assert silence.outage_sign_ms(refused) == 5_000.0
 
 
 def test_connection_timeout_is_a_sign_only_with_an_exchange() -> None:
     # A queue of 0.4 s on the link suffices for a connection to time out.
-    silence = store_silence.StoreSilence()
-    unopened = store_silence.SilentCall(5_000.0, 5_400.0)
+    silence = outage_detector.OutageDetector()
+    unopened = outage_detector.SilentCall(5_000.0, 5_400.0)
     assert silence.outage_sign_ms(unopened) is None
     silence.record_answer(5_100.0, clock.Millis(5_105.0))
     assert silence.outage_sign_ms(unopened) == 5_000.0
 
 
 def test_outage_lasts_until_the_store_responds() -> None:
-    silence = store_silence.StoreSilence()
+    silence = outage_detector.OutageDetector()
     silence.record_answer(5_050.0, clock.Millis(5_055.0))
     silence.outage_sign_ms(CALL)
-    later = store_silence.SilentCall(6_500.0, 7_500.0)
+    later = outage_detector.SilentCall(6_500.0, 7_500.0)
     assert silence.outage_sign_ms(later) == CALL.requested_ms
     assert silence.outage_sign_ms(None) is None
     assert silence.outage_sign_ms(later) is None
 
 
 def test_another_process_is_queried_during_each_call() -> None:
-    silence = store_silence.StoreSilence()
+    silence = outage_detector.OutageDetector()
     queried = [
         now_ms
         for now_ms in range(5_000, 6_000, 100)
--- a/tests/direct/fleet/test_store_outage.py
+++ b/tests/direct/fleet/test_store_outage.py
@@ -12,8 +12,8 @@
 from marlramp.core import event_time
 from marlramp.core import fleet
 from marlramp.core import members
+from marlramp.core import outage_detector
 from marlramp.core import replica_table
-from marlramp.core import store_silence
 from marlramp.direct.fleet import entry_fleet
 from marlramp.direct.fleet import store_reader
 from marlramp.protocol import codec
@@ -50,14 +50,14 @@
             time,
         )
         self.asked_ms: float | None = None
-        self.last: store_silence.SilentCall | None = None
+        self.last: outage_detector.SilentCall | None = None
 
     @property
     def silent_ms(self) -> float | None:
         return None if self.last is None else self.last.requested_ms
 
     @property
-    def silent_call(self) -> store_silence.SilentCall | None:
+    def silent_call(self) -> outage_detector.SilentCall | None:
         return self.last
 
     @property
@@ -147,7 +147,7 @@
         for _ in range(round(CALL_MS / TICK_MS)):
             self.pass_time()
         self.reader.asked_ms = None
-        self.reader.last = store_silence.SilentCall(
+        self.reader.last = outage_detector.SilentCall(
             asked_ms, self.time.now_ms()
         )
         self.pass_time()
