--- a/src/marlramp/core/catalog.py
+++ b/src/marlramp/core/catalog.py
@@ -1,4 +1,4 @@
-"""A process's replica of the platform's store, whose revisions only increase.
+"""A process's copy of the platform's store, whose revisions only increase.
 
 Every item carries the store's revision of its last change, so that changes read
 from the store and changes received from other processes are merged by one rule:
@@ -174,9 +174,9 @@
         """Returns the replicas that are listed or may return.
 
         Of two replicas at one address only the one written last is alive: the
-        other one has crashed and its record has not expired yet. Requests sent
-        to crashed replicas were rejected with status 421 in the seconds after
-        all engines had lost power (216 of 4,080 requests).
+        other one has crashed and its record has not expired yet. Sending
+        to the crashed one had 216 of 4,080 requests rejected with status 421 in
+        the seconds after all engines had lost power.
         """
         newest: dict[str, KnownReplica] = {}
         for known in self._replicas.values():
--- a/src/marlramp/core/event_time.py
+++ b/src/marlramp/core/event_time.py
@@ -88,9 +88,9 @@
     """Readings of the own clock between which an age was sent and received.
 
     Attributes:
-      after_ms: reading after which the sender computed the age.
-      now_ms: reading at which this process received the age.
-      assumed: whether `after_ms` rests on an assumed maximum path latency.
+      sent_after_ms: reading after which the sender computed the age.
+      received_ms: reading at which this process received the age.
+      assumed: whether `sent_after_ms` rests on an assumed maximum path latency.
     """
 
     sent_after_ms: float
--- a/src/marlramp/core/outage_detector.py
+++ b/src/marlramp/core/outage_detector.py
@@ -30,7 +30,7 @@
     """A call to which the store did not respond.
 
     Attributes:
-      asked_ms: when the call was sent.
+      requested_ms: when the call was sent.
       ended_ms: when the call timed out or failed.
     """
 
@@ -55,31 +55,31 @@
         self._sign_ms: float | None = None
 
     def is_query_due(
-        self, asked_ms: float | None, now_ms: clock.Millis
+        self, requested_ms: float | None, now_ms: clock.Millis
     ) -> bool:
         """Returns whether to query another process now, and records that it is.
 
         Args:
-          asked_ms: when the call that follows a failed one was sent, None if
-            no such call is in progress.
+          requested_ms: when the call that follows a failed one was sent, None
+            if no such call is in progress.
           now_ms: the time.
         """
-        if asked_ms is None:
+        if requested_ms is None:
             return False
-        queried = self._query_ms >= asked_ms
+        queried = self._query_ms >= requested_ms
         if queried and now_ms - self._query_ms < QUERY_INTERVAL_MS:
             return False
         self._query_ms = now_ms
         return True
 
-    def record_answer(self, asked_ms: float, now_ms: clock.Millis) -> None:
+    def record_answer(self, requested_ms: float, now_ms: clock.Millis) -> None:
         """Records that another process answered a query.
 
         Args:
-          asked_ms: when the query was sent.
+          requested_ms: when the query was sent.
           now_ms: the time.
         """
-        self._exchanges.append(_Exchange(asked_ms, now_ms))
+        self._exchanges.append(_Exchange(requested_ms, now_ms))
 
     def outage_sign_ms(self, call: SilentCall | None) -> float | None:
         """Returns a reading at which the store did not serve this process.
--- a/src/marlramp/core/roster.py
+++ b/src/marlramp/core/roster.py
@@ -58,8 +58,8 @@
     Attributes:
       own: the update that this process sends on itself.
       changes: number of changes so far.
-      doubted: VMs of processes that are down here but not to other entries, and
-        that are to be probed.
+      disputed: VMs of processes that are down here but not to other entries,
+        and that are to be probed.
     """
 
     def __init__(self, own: members.Member, incarnation: int) -> None:
--- a/tests/core/test_outage_detector.py
+++ b/tests/core/test_outage_detector.py
@@ -12,8 +12,8 @@
 
 def sign_ms(*exchanges: tuple[float, float]) -> float | None:
     silence = outage_detector.OutageDetector()
-    for asked_ms, answered_ms in exchanges:
-        silence.record_answer(asked_ms, clock.Millis(answered_ms))
+    for requested_ms, answered_ms in exchanges:
+        silence.record_answer(requested_ms, clock.Millis(answered_ms))
     return silence.outage_sign_ms(CALL)
 
 
