--- a/src/marlramp/core/reader_election.py
+++ b/src/marlramp/core/reader_election.py
@@ -45,7 +45,7 @@
 
 
 class _Beacon(msgspec.Struct, frozen=True):
-    heard_ms: float
+    received_ms: float
     answered_ms: float
     served: bool
 
@@ -197,7 +197,7 @@
         return (
             beacon is not None
             and beacon.served
-            and now_ms - beacon.heard_ms < READER_BEACON_AGE_MS
+            and now_ms - beacon.received_ms < READER_BEACON_AGE_MS
             and now_ms - beacon.answered_ms < READER_STORE_AGE_MS
         )
 
