--- a/src/marlramp/core/prober.py
+++ b/src/marlramp/core/prober.py
@@ -201,7 +201,7 @@
             record = self._roster.get(vm_id)
             if record is None or vm_id in selected:
                 continue
-            if record.news.state is members.MemberState.DOWN:
+            if record.update.state is members.MemberState.DOWN:
                 continue
             if now_ms - record.heard_ms >= PROBE_INTERVAL_MS:
                 selected.append(vm_id)
@@ -209,24 +209,24 @@
 
     def _candidates(self, *, near: bool) -> list[str]:
         return [
-            record.news.vm_id
+            record.update.vm_id
             for record in self._entries()
-            if record.news.state is not members.MemberState.DOWN
-            and (record.news.member.data_centre in self._near) is near
+            if record.update.state is not members.MemberState.DOWN
+            and (record.update.member.data_centre in self._near) is near
         ]
 
     def _disputed(self) -> list[str]:
         """Returns entries that are down here but not to others."""
-        disputed = sorted(self._roster.doubted)[:DISPUTED_MAX]
-        self._roster.doubted.difference_update(disputed)
+        disputed = sorted(self._roster.disputed)[:DISPUTED_MAX]
+        self._roster.disputed.difference_update(disputed)
         return disputed
 
     def _unconfirmed(self, now_ms: clock.Millis) -> list[str]:
         """Returns suspects to probe once before they are treated as down."""
         suspects = {
-            record.news.vm_id: record.since_ms
+            record.update.vm_id: record.since_ms
             for record in self._entries()
-            if record.news.state is members.MemberState.SUSPECT
+            if record.update.state is members.MemberState.SUSPECT
             and now_ms - record.since_ms >= CONFIRM_MS
         }
         unprobed = [
@@ -240,19 +240,19 @@
     def _down_entry(self) -> list[str]:
         """Returns one entry that is down, to detect its recovery."""
         down = [
-            record.news.vm_id
+            record.update.vm_id
             for record in self._entries()
-            if record.news.state is members.MemberState.DOWN
+            if record.update.state is members.MemberState.DOWN
         ]
         return [self._rng.choice(down)] if down else []
 
     def _helpers(self, vm_id: str) -> list[str]:
         others = [
-            record.news.vm_id
+            record.update.vm_id
             for record in self._entries()
-            if record.news.vm_id != vm_id
-            and record.news.vm_id not in self._pending
-            and record.news.state is members.MemberState.READY
+            if record.update.vm_id != vm_id
+            and record.update.vm_id not in self._pending
+            and record.update.state is members.MemberState.READY
         ]
         return self._rng.sample(others, min(HELPERS_MAX, len(others)))
 
@@ -260,5 +260,5 @@
         return [
             record
             for record in self._roster.records()
-            if record.news.member.kind is members.MemberKind.ENTRY
+            if record.update.member.kind is members.MemberKind.ENTRY
         ]
--- a/src/marlramp/direct/fleet/entry_fleet.py
+++ b/src/marlramp/direct/fleet/entry_fleet.py
@@ -14,11 +14,11 @@
 from marlramp.core import catalog
 from marlramp.core import crash_record
 from marlramp.core import members
-from marlramp.core import reader_duty
+from marlramp.core import outage_detector
+from marlramp.core import reader_election
 from marlramp.core import replica_table
 from marlramp.core import replica_view
 from marlramp.core import store_completeness
-from marlramp.core import store_silence
 from marlramp.direct.fleet import agent_guide
 from marlramp.direct.fleet import catalog_sync
 from marlramp.direct.fleet import crash_sync
@@ -91,7 +91,7 @@
         self._reader: store_reader.StoreReader | None = None
         self._beacon_ms = float("-inf")
         self._beacon_failing = False
-        self._duty = reader_duty.ReaderDuty(
+        self._duty = reader_election.ReaderElection(
             own.vm_id,
             own.data_centre,
             time.now_ms(),
@@ -110,7 +110,7 @@
             known, self.sync.send, self._age_peers, time
         )
         self._standby_asked_ms = float("-inf")
-        self._silence = store_silence.StoreSilence()
+        self._silence = outage_detector.OutageDetector()
         self._rng = random.Random()
         self._catalog_sync = catalog_sync.CatalogSync(
             known, self.sync, self._changed, time, self._ages.note_news
@@ -186,7 +186,7 @@
     def is_near_vm(self, vm_id: str) -> bool:
         """Returns whether a process is known to be in the own region."""
         record = self.sync.roster.get(vm_id)
-        return record is not None and self.sync.is_near(record.news.member)
+        return record is not None and self.sync.is_near(record.update.member)
 
     def ready_entries(self) -> list[members.Member]:
         """Returns the other entries that take callers."""
@@ -247,7 +247,7 @@
         one of them does.
         """
         now_ms = self._clock.now_ms()
-        names = self._duty.working(now_ms)
+        names = self._duty.working_readers(now_ms)
         reading = self._reader is not None and self._reader.reading
         if not reading or not names:
             alive = self.sync.alive(members.MemberKind.ENTRY)
@@ -259,7 +259,7 @@
         self, name: str, request: fleet_messages.VersionAgesRequest
     ) -> None:
         answer = self._ages.answer_to(request)
-        complete = store_completeness.Complete()
+        complete = store_completeness.CompleteRevision()
         if self._reader is not None:
             complete = self._reader.completeness.latest
         if complete.is_known:
@@ -273,16 +273,16 @@
     def _take_ages(self, name: str, answer: fleet_messages.VersionAges) -> None:
         asked_ms = self._ages.on_answer(name, answer)
         if asked_ms is not None:
-            self._silence.note_answer(asked_ms, self._clock.now_ms())
+            self._silence.record_answer(asked_ms, self._clock.now_ms())
         age_ms = answer.complete_age_ms
         if asked_ms is None or age_ms is None or self._reader is None:
             return
         if not age_ms >= 0.0:
             return
-        complete = store_completeness.Complete(
+        complete = store_completeness.CompleteRevision(
             answer.complete_revision, asked_ms - age_ms
         )
-        self._reader.completeness.note_heard(complete)
+        self._reader.completeness.record_report(complete)
 
     def _ask_readers(self) -> None:
         """Asks what the store holds, if this entry may have to stand in."""
@@ -290,7 +290,7 @@
         if now_ms - self._standby_asked_ms < STANDBY_ASK_MS:
             return
         self._standby_asked_ms = now_ms
-        for name in self._duty.watched_readers(self._staying()):
+        for name in self._duty.readers_to_query(self._staying()):
             self._ages.ask(name)
 
     # Messages.
@@ -308,7 +308,7 @@
         match message:
             case fleet_messages.StoreBeacon():
                 now_ms = self._clock.now_ms()
-                self._duty.take(
+                self._duty.record_beacon(
                     name, message.store_age_ms, now_ms, served=message.served
                 )
                 self.on_revision(name, message.revision)
@@ -413,7 +413,7 @@
 
     def _note_store(self) -> None:
         call = None if self._reader is None else self._reader.silent_call
-        silent_ms = self._silence.sign_ms(call)
+        silent_ms = self._silence.outage_sign_ms(call)
         if silent_ms is not None:
             alive = self.sync.alive(members.MemberKind.ENTRY)
             others = {member.vm_id for member in alive}
@@ -430,7 +430,7 @@
         """
         asked_ms = None if self._reader is None else self._reader.retried_ms
         now_ms = self._clock.now_ms()
-        if not self._silence.is_question_due(asked_ms, now_ms):
+        if not self._silence.is_query_due(asked_ms, now_ms):
             return
         alive = self.sync.alive(members.MemberKind.ENTRY)
         far = [each for each in alive if not self.sync.is_near(each)]
@@ -447,11 +447,11 @@
         now_ms = self._clock.now_ms()
         if reader is None or not reader.reading or reader.age_ms is None:
             return
-        if reader.age_ms >= reader_duty.READER_STORE_AGE_MS:
+        if reader.age_ms >= reader_election.READER_STORE_AGE_MS:
             return
         since_ms = now_ms - self._beacon_ms
         same = reader.failing is self._beacon_failing
-        if same and since_ms < reader_duty.BEACON_MS:
+        if same and since_ms < reader_election.BEACON_MS:
             return
         self._beacon_ms = now_ms
         self._beacon_failing = reader.failing
--- a/src/marlramp/direct/fleet/member_sync.py
+++ b/src/marlramp/direct/fleet/member_sync.py
@@ -16,10 +16,10 @@
 
 from marlramp import clock
 from marlramp import logs
+from marlramp.core import gossip
 from marlramp.core import members
 from marlramp.core import prober
 from marlramp.core import roster
-from marlramp.core import rumours
 from marlramp.protocol import codec
 from marlramp.protocol import fleet_messages
 from marlramp.settings import node
@@ -140,7 +140,9 @@
         self._clock = time
         self._rng = rng
         self._prober = prober.Prober(self.roster, near, rng)
-        self._rumours: rumours.Rumours[members.MemberNews] = rumours.Rumours()
+        self._rumours: gossip.GossipQueue[members.MemberUpdate] = (
+            gossip.GossipQueue()
+        )
         self._links: Links | None = None
         self._started_ms = time.now_ms()
         self._compared_ms = float("-inf")
@@ -180,7 +182,7 @@
 
     def _state_of(self, member: members.Member) -> members.MemberState | None:
         record = self.roster.get(member.vm_id)
-        return None if record is None else record.news.state
+        return None if record is None else record.update.state
 
     def is_near(self, member: members.Member) -> bool:
         """Returns whether a member is in the own region."""
@@ -196,7 +198,7 @@
         record = self.roster.get(vm_id)
         if record is None:
             return False
-        member = record.news.member
+        member = record.update.member
         if member.kind is not members.MemberKind.ENTRY:
             return False
         links.open(vm_id, member.host, member.port)
@@ -212,7 +214,7 @@
             record = self.roster.get(vm_id)
             if record is None:
                 continue
-            member = record.news.member
+            member = record.update.member
             if member.kind is members.MemberKind.ENTRY:
                 links.open(vm_id, member.host, member.port)
                 links.send_encoded(vm_id, encoded)
@@ -245,11 +247,13 @@
         self._note_lost()
         self._spread(now_ms)
 
-    def _pass_on(self, news: members.MemberNews, now_ms: clock.Millis) -> None:
+    def _pass_on(
+        self, news: members.MemberUpdate, now_ms: clock.Millis
+    ) -> None:
         self._rumours.add(news.vm_id, news, now_ms)
 
     def _spread(self, now_ms: clock.Millis) -> None:
-        news = self._rumours.take(now_ms)
+        news = self._rumours.next_batch(now_ms)
         if news:
             self.send_some(fleet_messages.MembersNews(news=news))
 
@@ -258,9 +262,9 @@
         entries = self.alive(members.MemberKind.ENTRY)
         near = [entry.vm_id for entry in entries if self.is_near(entry)]
         far = [entry.vm_id for entry in entries if not self.is_near(entry)]
-        targets = self._draw(near, rumours.NEAR_TARGETS)
-        missing = rumours.NEAR_TARGETS - len(targets)
-        targets += self._draw(far, rumours.FAR_TARGETS + missing)
+        targets = self._draw(near, gossip.NEAR_TARGETS)
+        missing = gossip.NEAR_TARGETS - len(targets)
+        targets += self._draw(far, gossip.FAR_TARGETS + missing)
         self.send_all(targets, message)
 
     def _draw(self, vm_ids: list[str], count: int) -> list[str]:
@@ -269,9 +273,9 @@
     def _note_lost(self) -> None:
         """Logs who came and went, and closes links to those that are down."""
         lost = {
-            record.news.vm_id
+            record.update.vm_id
             for record in self.roster.records()
-            if record.news.state is members.MemberState.DOWN
+            if record.update.state is members.MemberState.DOWN
         }
         for vm_id in sorted(lost - self._lost):
             logs.log("member_down", vm=vm_id)
@@ -318,7 +322,7 @@
         if not name.startswith(_SEED):
             return name
         for record in self.roster.records():
-            member = record.news.member
+            member = record.update.member
             if name == f"{_SEED}{member.host}:{member.port}":
                 return member.vm_id
         return name
@@ -333,7 +337,7 @@
         if member.vm_id == self._own.vm_id:
             return
         known = self.roster.get(member.vm_id)
-        new = known is None or known.news.incarnation < hello.news.incarnation
+        new = known is None or known.update.incarnation < hello.news.incarnation
         self._take_direct(hello.news, now_ms)
         if hello.reply:
             self.send(member.vm_id, self._hello(reply=False))
@@ -376,8 +380,8 @@
         record = self.roster.get(name)
         if record is None:
             return False
-        news = members.MemberNews(
-            record.news.member, summary.incarnation, summary.state
+        news = members.MemberUpdate(
+            record.update.member, summary.incarnation, summary.state
         )
         self._take_direct(news, now_ms)
         self._surroundings.on_revision(name, summary.revision)
@@ -394,12 +398,12 @@
         self, name: str, request: fleet_messages.RosterRequest
     ) -> None:
         news = self.roster.in_buckets(self.roster.differing(request.digests))
-        chosen = self._rng.sample(news, min(rumours.BATCH_MAX, len(news)))
+        chosen = self._rng.sample(news, min(gossip.BATCH_MAX, len(news)))
         if chosen:
             self.send(name, fleet_messages.MembersNews(news=chosen))
 
     def _take(
-        self, news: Iterable[members.MemberNews], now_ms: clock.Millis
+        self, news: Iterable[members.MemberUpdate], now_ms: clock.Millis
     ) -> None:
         for each in news:
             passed_on = self.roster.apply(each, now_ms)
@@ -407,10 +411,10 @@
                 self._pass_on(passed_on, now_ms)
 
     def _take_direct(
-        self, news: members.MemberNews, now_ms: clock.Millis
+        self, news: members.MemberUpdate, now_ms: clock.Millis
     ) -> None:
         known = self.roster.get(news.vm_id)
-        if known is not None and news.incarnation < known.news.incarnation:
+        if known is not None and news.incarnation < known.update.incarnation:
             # Its clock went back before it started: it is to rise above what
             # is known of its earlier process.
             self._contradict(known, now_ms)
@@ -420,20 +424,20 @@
 
     def _note_heard(self, name: str, now_ms: clock.Millis) -> None:
         """Records a sign of life; asks one that is taken as lost to object."""
-        record = self.roster.heard(name, now_ms)
+        record = self.roster.record_message(name, now_ms)
         if record is None:
             return
-        state = record.news.state
+        state = record.update.state
         if state in (members.MemberState.SUSPECT, members.MemberState.DOWN):
             self._contradict(record, now_ms)
 
     def _contradict(self, record: roster.Record, now_ms: clock.Millis) -> None:
         """Tells a process what is believed of it, for it to object."""
-        vm_id = record.news.vm_id
+        vm_id = record.update.vm_id
         last_ms = self._contradicted_ms.get(vm_id, float("-inf"))
         if now_ms - last_ms >= CONTRADICTION_MS:
             self._contradicted_ms[vm_id] = now_ms
-            message = fleet_messages.MembersNews(news=[record.news])
+            message = fleet_messages.MembersNews(news=[record.update])
             self.send(vm_id, message)
 
     def _compare(self, name: str, digest: int, now_ms: clock.Millis) -> None:
@@ -447,7 +451,7 @@
         record = self.roster.get(name)
         if record is None:
             return
-        far = not self.is_near(record.news.member)
+        far = not self.is_near(record.update.member)
         if far and self._rng.random() >= FAR_COMPARE_SHARE:
             return
         self._compared_ms = now_ms
@@ -476,13 +480,13 @@
 
     def _hello(self, *, reply: bool) -> fleet_messages.Hello:
         """Returns an introduction; one that asks for none names some others."""
-        sample: list[members.MemberNews] = []
+        sample: list[members.MemberUpdate] = []
         if not reply:
             known = [
-                record.news
+                record.update
                 for record in self.roster.records()
-                if record.news.state is members.MemberState.READY
-                and record.news.member.kind is members.MemberKind.ENTRY
+                if record.update.state is members.MemberState.READY
+                and record.update.member.kind is members.MemberKind.ENTRY
             ]
             sample = self._rng.sample(known, min(SAMPLE, len(known)))
         return fleet_messages.Hello(
--- a/src/marlramp/direct/fleet/store_reader.py
+++ b/src/marlramp/direct/fleet/store_reader.py
@@ -21,8 +21,8 @@
 from marlramp import counters
 from marlramp import logs
 from marlramp.core import catalog
+from marlramp.core import outage_detector
 from marlramp.core import store_completeness
-from marlramp.core import store_silence
 from marlramp.platform import clients
 from marlramp.platform import store
 
@@ -103,7 +103,7 @@
         self._failing = False
         self._reads_all = False
         self._asked_ms: float | None = None
-        self._silent_call: store_silence.SilentCall | None = None
+        self._silent_call: outage_detector.SilentCall | None = None
         self.completeness = store_completeness.StoreCompleteness()
         self.reading = False
 
@@ -128,7 +128,7 @@
         return self.reading and not self.failing
 
     @property
-    def silent_call(self) -> store_silence.SilentCall | None:
+    def silent_call(self) -> outage_detector.SilentCall | None:
         """The last call that the store gave no answer to.
 
         None if it has answered since.
@@ -185,9 +185,9 @@
             self._log_changes(snapshot, asked_ms, now_ms)
         waited = now_ms - asked_ms >= wait_ms
         if waited and not snapshot.changes and snapshot.revision == after:
-            self.completeness.note_waited(after, asked_ms, wait_ms)
+            self.completeness.record_empty_watch(after, asked_ms, wait_ms)
         else:
-            self.completeness.note_read(snapshot.revision, asked_ms)
+            self.completeness.record_read(snapshot.revision, asked_ms)
         if new:
             self._publish(before, new)
             await asyncio.sleep(BATCH_MS / clock.MILLIS_PER_SECOND)
@@ -207,8 +207,8 @@
             known_revision=before,
         )
         aged = catalog.Snapshot(snapshot.revision, self._aged(snapshot, now_ms))
-        new = self._catalog.take_snapshot(aged, now_ms)
-        self.completeness.note_read(snapshot.revision, asked_ms)
+        new = self._catalog.apply_snapshot(aged, now_ms)
+        self.completeness.record_read(snapshot.revision, asked_ms)
         if new:
             self._publish(before, new)
 
@@ -224,7 +224,7 @@
             logs.log("store_reached", revision=self._catalog.revision)
         if self._failing:
             # The store came back after the last call that failed.
-            self._catalog.store_failed(now_ms)
+            self._catalog.record_store_failure(now_ms)
         self._failing = False
         self._silent_call = None
         self._answered_ms = now_ms
@@ -276,7 +276,7 @@
             raise
         except clients.PlatformError as error:
             if self._failing and not error.answering:
-                self._silent_call = store_silence.SilentCall(
+                self._silent_call = outage_detector.SilentCall(
                     asked_ms, self._clock.now_ms()
                 )
             raise
@@ -291,6 +291,6 @@
         if isinstance(error, clients.UselessAnswerError):
             self._reads_all = True
         self._totals.add(counters.CounterName.PLATFORM_READS, "failed")
-        self._catalog.store_failed(self._clock.now_ms())
+        self._catalog.record_store_failure(self._clock.now_ms())
         wait_ms = random.uniform(RETRY_MIN_MS, RETRY_MAX_MS)
         await asyncio.sleep(wait_ms / clock.MILLIS_PER_SECOND)
--- a/src/marlramp/direct/fleet/version_ages.py
+++ b/src/marlramp/direct/fleet/version_ages.py
@@ -136,8 +136,8 @@
                 continue
             named = (aged.model, aged.version)
             self._answers[named] = self._answers.get(named, 0) + 1
-        hearing = event_time.Hearing(asked_ms, now_ms)
-        self._catalog.learn_ages(answer.versions, hearing)
+        hearing = event_time.Receipt(asked_ms, now_ms)
+        self._catalog.merge_ages(answer.versions, hearing)
         for (model, version), doubt_ms in self._doubts().items():
             if doubt_ms >= before.get((model, version), float("inf")):
                 continue
@@ -159,7 +159,7 @@
             (model, named.version)
             for model, known in self._catalog.targets.items()
             for named in known.named
-            if named.is_in_doubt(bound_ms, DOUBT_MS, now_ms)
+            if named.needs_refinement(bound_ms, DOUBT_MS, now_ms)
         ]
         return [
             each for each in found if self._answers.get(each, 0) < ANSWERS_MAX
@@ -167,7 +167,7 @@
 
     def _doubts(self) -> dict[tuple[str, int], float]:
         return {
-            (model, named.version): named.named.doubt_ms
+            (model, named.version): named.named.uncertainty_ms
             for model, known in self._catalog.targets.items()
             for named in known.named
             if named.named is not None
--- a/tests/direct/fleet/test_store_reader.py
+++ b/tests/direct/fleet/test_store_reader.py
@@ -15,7 +15,7 @@
 from marlramp import ids
 from marlramp.core import catalog
 from marlramp.core import fleet
-from marlramp.core import reader_duty
+from marlramp.core import reader_election
 from marlramp.direct.fleet import store_reader
 from marlramp.platform import calls
 from marlramp.platform import clients
@@ -234,7 +234,7 @@
     read(ScriptedStore(nothing(1), version(2)), known, 1.3)
     named = known.targets["m"].named[-1].named
     assert named is not None
-    assert named.doubt_ms < 500.0
+    assert named.uncertainty_ms < 500.0
 
 
 def test_version_comes_between_two_answers_of_the_store() -> None:
@@ -242,7 +242,7 @@
     read(ScriptedStore(nothing(1), version(2, 0.3)), known, 1.5)
     named = known.targets["m"].named[-1].named
     assert named is not None
-    assert 300.0 <= named.doubt_ms < 800.0
+    assert 300.0 <= named.uncertainty_ms < 800.0
 
 
 def test_version_that_was_there_before_gets_no_age_by_a_second_reading() -> (
@@ -274,8 +274,8 @@
     source = FailingStore(failure(answering=False), answering=False)
     reader = read(source, catalog.Catalog(), 1.0)
     assert reader.silent_call is not None
-    assert reader.silent_call.asked_ms > source.failed_ms
-    assert reader.silent_call.ended_ms >= reader.silent_call.asked_ms
+    assert reader.silent_call.requested_ms > source.failed_ms
+    assert reader.silent_call.ended_ms >= reader.silent_call.requested_ms
 
 
 def test_call_that_was_not_made_is_no_sign_of_an_outage() -> None:
@@ -522,7 +522,7 @@
     assert "m" in known.targets
     assert source.read == 1
     # To the others it is a sign that the store serves.
-    assert max(ages_ms) < reader_duty.READER_STORE_AGE_MS
+    assert max(ages_ms) < reader_election.READER_STORE_AGE_MS
     # What the others read comes from them meanwhile.
     assert kept_up[0]
     assert not kept_up[-1]
--- a/tests/direct/fleet/test_version_ages.py
+++ b/tests/direct/fleet/test_version_ages.py
@@ -106,7 +106,7 @@
         )
         self.sent: list[tuple[str, msgspec.Struct]] = []
         for other in others:
-            news = members.MemberNews(
+            news = members.MemberUpdate(
                 member(other, data_centre), 1, members.MemberState.READY
             )
             self.roster.apply_direct(news, time.now_ms())
@@ -292,7 +292,7 @@
         news = other.changes_after(0, self.time.now_ms())
         self.time.advance(way_ms)
         now_ms = self.time.now_ms()
-        hearing = event_time.news(version_ages.WAY_MAX_MS, now_ms)
+        hearing = event_time.unsolicited(version_ages.WAY_MAX_MS, now_ms)
         self.known.apply(news, now_ms, hearing)
         self.ages.note_news("entry-1")
 
@@ -338,7 +338,7 @@
     other.exchange(reader, there_ms, back_ms)
     named = other.named()
     assert named.earliest_ms <= acknowledged_ms <= named.latest_ms
-    assert named.doubt_ms <= there_ms + back_ms
+    assert named.uncertainty_ms <= there_ms + back_ms
 
 
 def test_one_quick_answer_makes_up_for_slow_ones(
@@ -353,7 +353,7 @@
         other.ages.tick(BOUND_MS)
     named = other.named()
     assert named.earliest_ms <= acknowledged_ms <= named.latest_ms
-    assert named.doubt_ms <= 6.0
+    assert named.uncertainty_ms <= 6.0
 
 
 def test_nobody_is_asked_when_it_no_longer_matters(
@@ -399,11 +399,11 @@
     other.hear(restarted.known, way_ms=1.0)
     other.exchange(restarted, 1.0, 1.0)
     now_ms = time.now_ms()
-    hearing = event_time.news(version_ages.WAY_MAX_MS, now_ms)
+    hearing = event_time.unsolicited(version_ages.WAY_MAX_MS, now_ms)
     assert other.known.apply(late, now_ms, hearing) == []
     named = other.named(2)
     assert named.earliest_ms <= first_ms <= named.latest_ms
-    assert other.known.targets["m"].binds_first_ms(1) == named.earliest_ms
+    assert other.known.targets["m"].next_counts_from_ms(1) == named.earliest_ms
 
 
 def test_version_between_two_others_binds_where_only_the_newest_was_news(
@@ -415,7 +415,7 @@
     time.advance(version_ages.WAY_MAX_MS + 1_000.0)
     named_at(reader, 3)
     late.hear(reader.known, way_ms=20.0)
-    bound_ms = late.known.targets["m"].binds_first_ms(1)
+    bound_ms = late.known.targets["m"].next_counts_from_ms(1)
     assert bound_ms is not None
     assert bound_ms <= first_ms
     named = late.named(2)
@@ -444,7 +444,7 @@
     other.sync.on_news("entry-2", news)
     named = other.known.targets["m"].named
     assert [each.version for each in named] == [2, 3]
-    bound_ms = other.known.targets["m"].binds_first_ms(1)
+    bound_ms = other.known.targets["m"].next_counts_from_ms(1)
     assert bound_ms is not None
     assert bound_ms <= first_ms
 
@@ -468,7 +468,7 @@
     ((_, request),) = other.asked
     assert isinstance(request, fleet_messages.VersionAgesRequest)
     other.ages.on_answer("seed:10.0.0.1:8000", reader.ages.answer_to(request))
-    assert other.named().doubt_ms == 0.0
+    assert other.named().uncertainty_ms == 0.0
 
 
 def test_version_that_binds_is_not_freed_by_a_call_sent_before(
@@ -566,7 +566,7 @@
     read_ms = time.now_ms()
     for _ in range(16):
         time.advance(500.0)
-        entry.known.store_down(BOUND_MS, time.now_ms())
+        entry.known.record_outage_sign(BOUND_MS, time.now_ms())
     outage_ms = time.now_ms()
     ages = event_time.Ages(0.0, outage_ms - read_ms)
     change = catalog.TargetChange(2, TARGET, ages)
@@ -607,7 +607,7 @@
     named_at(reader)
     for _ in range(4):
         time.advance(500.0)
-        reader.known.store_down(BOUND_MS, time.now_ms())
+        reader.known.record_outage_sign(BOUND_MS, time.now_ms())
     outage_ms = time.now_ms()
     other.hear(reader.known, way_ms=version_ages.WAY_MAX_MS + 1_000.0)
     other.exchange(reader, there_ms=5.0, back_ms=5.0)
