--- a/src/marlramp/core/breaker.py
+++ b/src/marlramp/core/breaker.py
@@ -1,4 +1,7 @@
-"""Circuit breaker per upstream, against those that fail fast."""
+"""Circuit breaker for one upstream.
+
+An upstream that fails fast looks idle and would otherwise attract requests.
+"""
 
 from __future__ import annotations
 
@@ -16,10 +19,15 @@
 
 
 class Breaker:
-    """Opens after consecutive failures and lets one trial through later."""
+    """Opens after consecutive failures and later admits one trial request."""
 
     def __init__(self, failures_max: int, open_ms: float) -> None:
-        """Starts closed."""
+        """Creates a closed breaker.
+
+        Args:
+          failures_max: number of consecutive failures that open the breaker.
+          open_ms: time for which the breaker stays open before a trial.
+        """
         self._failures_max = failures_max
         self._open_ms = open_ms
         self._failures = 0
@@ -50,7 +58,7 @@
         return state is BreakerState.CLOSED
 
     def record_start(self, now_ms: clock.Millis) -> None:
-        """Counts a request sent; the first when half open is the trial."""
+        """Counts a sent request, which is the trial if half open."""
         if self.state(now_ms) is BreakerState.HALF_OPEN:
             self._trial_ms = now_ms
 
@@ -61,12 +69,15 @@
         self._trial_ms = None
 
     def trip(self, now_ms: clock.Millis) -> None:
-        """Opens at once, for a failure that leaves no doubt."""
+        """Opens the breaker at once, for a failure that is certain."""
         self._opened_ms = now_ms
         self._trial_ms = None
 
     def record_failure(self, now_ms: clock.Millis) -> None:
-        """Counts a failure and opens the breaker at the limit."""
+        """Counts a failure and opens the breaker at the limit.
+
+        A failure of a trial opens the breaker again.
+        """
         self._failures += 1
         if self._failures >= self._failures_max or self._opened_ms is not None:
             self.trip(now_ms)
--- a/src/marlramp/core/engine_state.py
+++ b/src/marlramp/core/engine_state.py
@@ -1,4 +1,4 @@
-"""What the agent beside an engine reads from it."""
+"""Defines the state that an agent reads from the engine beside it."""
 
 from __future__ import annotations
 
@@ -6,17 +6,19 @@
 
 
 class EngineReport(msgspec.Struct, frozen=True, kw_only=True):
-    """One report of an engine.
+    """One report of an engine on its own state.
 
     Attributes:
-      weights: version that all layers hold, 0 if none or several.
-      running: requests that have a place.
-      waiting: requests that wait for one.
-      pace: measured slowness, 1 for none.
-      busy: whether an order is being carried out.
-      order_number: orders that began something since the engine's start.
-      born_ms: Unix time of its start, None where the platform does not say.
-      leaving: whether it says that it leaves.
+      weights: version that all layers hold, 0 if they hold none or several.
+      running: number of requests that hold a slot in the batch.
+      waiting: number of requests that wait for a slot.
+      pace: measured slowdown factor, 1 for an engine at its specified speed.
+      busy: whether the engine is carrying out an order.
+      order_number: number of orders since the engine's start that began an
+        operation.
+      born_ms: Unix time of the engine's start, None if the platform doesn't
+        report it.
+      leaving: whether the engine reports that it is leaving.
     """
 
     weights: int
--- a/src/marlramp/core/peer_loads.py
+++ b/src/marlramp/core/peer_loads.py
@@ -1,9 +1,9 @@
-"""What the other entries have under way at each replica.
+"""Exchanges the load of each entry at each replica with other entries.
 
-An engine's own report counts requests, not how much of their prompts is still
-to be read, and comes some 200 ms late. Entries near each other therefore tell
-one another what they sent; without it several choose the same engine at once
-and each believes it to be free.
+An engine's own report counts requests, but not how much of their prompts is
+still to be read, and arrives about 200 ms late. Nearby entries therefore report
+to each other what they have sent. Otherwise several entries choose one engine
+at once, because each believes it to be idle.
 """
 
 from __future__ import annotations
@@ -17,25 +17,26 @@
 from marlramp.core import replica_table
 from marlramp.core import replica_view
 
-FALLS_HEARD_PER_S_MAX = 80.0
-"""Messages a second that an entry hears of loads that only fell, from all
-peers together. Who does not know of a fall spares an engine for a moment; who
-does not know of a rise joins those who choose the same one. An entry of 16
-tells 9 to 11 times a second with this bound and 17 to 22 times without, and as
-many callers are served in time (replayed load, 0.8 to 1.15 times what 13
-engines serve, three seeds)."""
+DECREASES_PER_S_MAX = 80.0
+"""Largest number of messages per second that report only decreased loads, as
+received by an entry from all its peers together. An entry that misses a
+decrease avoids an engine for a moment; an entry that misses an increase chooses
+an engine that others choose as well. Each of 16 entries sends 9 to 11 messages
+per second with this limit and 17 to 22 without, and as many callers are served
+in time (replayed load at 0.8 to 1.15 times the capacity of 13 engines, three
+seeds)."""
 
 
 class OwnLoad(msgspec.Struct, frozen=True, array_like=True):
-    """What one entry has under way at one replica.
+    """The load that one entry causes at one replica.
 
     Attributes:
-      replica_id: the replica.
-      in_flight: requests sent there that have not ended.
-      unread_tokens: prompt tokens of those that brought no event yet, without
-        those that wait behind the others.
-      behind: requests that wait behind the others there.
-      behind_tokens: their prompt tokens.
+      replica_id: id of the replica.
+      in_flight: number of requests that were sent and have not ended.
+      unread_tokens: prompt tokens of requests that have produced no event yet,
+        without those queued at the back.
+      behind: number of requests queued at the back.
+      behind_tokens: prompt tokens of the requests queued at the back.
     """
 
     replica_id: str
@@ -46,52 +47,56 @@
 
 
 class PeerLoads:
-    """Adds up what other entries tell, in the views of the replicas."""
+    """Sums the loads that other entries report for each replica."""
 
     def __init__(self, table: replica_table.ReplicaTable) -> None:
-        """Writes sums into the views in `table`."""
+        """Creates the sums without any reported load.
+
+        Args:
+          table: the replicas; the sums are written to their views.
+        """
         self._table = table
-        self._told: dict[str, dict[str, OwnLoad]] = {}
+        self._reported: dict[str, dict[str, OwnLoad]] = {}
 
     def take(self, peer: str, loads: Iterable[OwnLoad]) -> None:
-        """Takes what a peer has under way now, at the replicas it names."""
-        told = self._told.setdefault(peer, {})
+        """Applies the loads that a peer reports for some replicas."""
+        reported = self._reported.setdefault(peer, {})
         for load in loads:
-            told[load.replica_id] = load
-            self._add_up(load.replica_id)
+            reported[load.replica_id] = load
+            self._update_sums(load.replica_id)
 
     def replace(self, peer: str, loads: Iterable[OwnLoad]) -> None:
-        """Takes all that a peer has under way, at no other replica."""
-        before = self._told.pop(peer, {})
+        """Applies a peer's complete report, replacing its earlier loads."""
+        before = self._reported.pop(peer, {})
         self.take(peer, loads)
-        for replica_id in before.keys() - self._told[peer].keys():
-            self._add_up(replica_id)
+        for replica_id in before.keys() - self._reported[peer].keys():
+            self._update_sums(replica_id)
 
     def drop(self, peer: str) -> None:
-        """Forgets a peer that is not heard any more."""
-        told = self._told.pop(peer, {})
-        for replica_id in told:
-            self._add_up(replica_id)
+        """Removes the loads of a peer that has become silent."""
+        reported = self._reported.pop(peer, {})
+        for replica_id in reported:
+            self._update_sums(replica_id)
 
     def forget(self, replica_ids: Iterable[str]) -> None:
-        """Drops replicas that are gone."""
-        for told in self._told.values():
+        """Removes the loads at replicas that no longer exist."""
+        for reported in self._reported.values():
             for replica_id in replica_ids:
-                told.pop(replica_id, None)
+                reported.pop(replica_id, None)
 
     @property
     def peers(self) -> list[str]:
-        """Peers that told anything."""
-        return list(self._told)
+        """Peers that have reported a load."""
+        return list(self._reported)
 
-    def _add_up(self, replica_id: str) -> None:
+    def _update_sums(self, replica_id: str) -> None:
         view = self._table.get(replica_id)
         if view is None:
             return
         loads = [
-            told[replica_id]
-            for told in self._told.values()
-            if replica_id in told
+            reported[replica_id]
+            for reported in self._reported.values()
+            if replica_id in reported
         ]
         view.others_in_flight = sum(load.in_flight for load in loads)
         view.others_unread = sum(load.unread_tokens for load in loads)
@@ -100,95 +105,102 @@
 
 
 class LoadNews:
-    """Finds what to tell the others of the own requests."""
+    """Selects the changes of this entry's loads to report to its peers."""
 
     def __init__(
         self,
         table: replica_table.ReplicaTable,
         on_change: Callable[[], None] = lambda: None,
     ) -> None:
-        """Listens to the views in `table`.
+        """Subscribes to load changes in `table`.
 
         Args:
           table: the replicas.
-          on_change: called when there may be something to tell.
+          on_change: called when there may be a change to report.
         """
         self._table = table
         self._on_change = on_change
-        self._told: dict[str, OwnLoad] = {}
-        self._told_ms = float("-inf")
+        self._reported: dict[str, OwnLoad] = {}
+        self._reported_ms = float("-inf")
         self._changed: set[str] = set()
-        table.listen(self._note)
+        table.listen(self._mark_changed)
 
     def changed(self, peers: int, now_ms: clock.Millis) -> list[OwnLoad]:
-        """Returns what is to be told now of what changed.
+        """Returns the changed loads to report now.
 
-        A load that rose is told at once, with all that fell; loads that only
-        fell wait until the peers have not been told for `falls_pause_ms`.
+        An increase is reported at once, along with all decreases. Decreases
+        alone are reported only if the last report is at least
+        `falls_pause_ms` old.
 
         Args:
-          peers: how many are told.
+          peers: number of peers that receive the report.
           now_ms: the time.
         """
-        news = [load for load in map(self._load, self._changed) if load]
-        news = [load for load in news if self._is_new(load)]
-        rose = any(map(self._rose, news))
-        if not rose and now_ms < self._told_ms + falls_pause_ms(peers):
+        updates = [load for load in map(self._load, self._changed) if load]
+        updates = [load for load in updates if self._is_new(load)]
+        increased = any(map(self._has_increased, updates))
+        if not increased and now_ms < self._reported_ms + falls_pause_ms(peers):
             return []
-        self._note_told(news, now_ms)
-        return sorted(news, key=lambda load: load.replica_id)
+        self._record_reported(updates, now_ms)
+        return sorted(updates, key=lambda load: load.replica_id)
 
     @property
     def waits(self) -> bool:
-        """Whether a change waits to be told."""
+        """Whether a change has not been reported yet."""
         return bool(self._changed)
 
     def all(self, now_ms: clock.Millis) -> list[OwnLoad]:
-        """Returns the loads at all replicas that have any, as told now."""
+        """Returns all nonzero loads and marks them as reported now."""
         loads = [_own_load(view) for view in self._table if _is_used(view)]
-        self._told.clear()
-        self._note_told(loads, now_ms)
+        self._reported.clear()
+        self._record_reported(loads, now_ms)
         return loads
 
     def forget(self, replica_ids: Iterable[str]) -> None:
-        """Drops replicas that are gone."""
+        """Removes the reported loads at replicas that no longer exist."""
         for replica_id in replica_ids:
-            self._told.pop(replica_id, None)
+            self._reported.pop(replica_id, None)
 
-    def _note(self, replica_id: str) -> None:
+    def _mark_changed(self, replica_id: str) -> None:
         self._changed.add(replica_id)
         self._on_change()
 
-    def _note_told(self, loads: list[OwnLoad], now_ms: clock.Millis) -> None:
+    def _record_reported(
+        self, loads: list[OwnLoad], now_ms: clock.Millis
+    ) -> None:
         self._changed.clear()
         if not loads:
             return
-        self._told_ms = now_ms
+        self._reported_ms = now_ms
         for load in loads:
-            self._told[load.replica_id] = load
+            self._reported[load.replica_id] = load
 
     def _load(self, replica_id: str) -> OwnLoad | None:
         view = self._table.get(replica_id)
         return None if view is None else _own_load(view)
 
     def _is_new(self, load: OwnLoad) -> bool:
-        told = self._told.get(load.replica_id)
-        if told is None:
+        reported = self._reported.get(load.replica_id)
+        if reported is None:
             return load.in_flight > 0
-        return told != load
-
-    def _rose(self, load: OwnLoad) -> bool:
-        told = self._told.get(load.replica_id)
-        return told is None or (
-            load.in_flight > told.in_flight
-            or load.unread_tokens > told.unread_tokens
-            or load.behind > told.behind
+        return reported != load
+
+    def _has_increased(self, load: OwnLoad) -> bool:
+        reported = self._reported.get(load.replica_id)
+        return reported is None or (
+            load.in_flight > reported.in_flight
+            or load.unread_tokens > reported.unread_tokens
+            or load.behind > reported.behind
         )
 
 
 def falls_pause_ms(peers: int) -> float:
-    """Returns the least time between two messages on loads that only fell."""
-    return peers / FALLS_HEARD_PER_S_MAX * clock.MILLIS_PER_SECOND
+    """Returns the least age of the last report before only decreases are sent.
+
+    Args:
+      peers: number of peers that receive the reports.
+    """
+    return peers / DECREASES_PER_S_MAX * clock.MILLIS_PER_SECOND
 
 
 def _own_load(view: replica_view.ReplicaView) -> OwnLoad:
--- a/src/marlramp/core/queue_place.py
+++ b/src/marlramp/core/queue_place.py
@@ -1,4 +1,4 @@
-"""Where a request waits in an engine's queue."""
+"""Defines the position of a request in an engine's queue."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class QueuePlace(enum.Enum):
-    """Which requests an engine's queue lets go first.
+    """Position of a request in an engine's queue.
 
     Attributes:
-      FRONT: may still begin within its objective.
-      BEHIND: is late whatever happens, so that it lets the others go first.
+      FRONT: the request may still begin within its objective.
+      BEHIND: the request is late in any case and yields to the others.
     """
 
     FRONT = "front"
--- a/src/marlramp/core/queueing.py
+++ b/src/marlramp/core/queueing.py
@@ -1,4 +1,4 @@
-"""The entry's waiting requests: by priority, then fair among customers."""
+"""Queues an entry's waiting requests by priority, then fairly by customer."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Priority(enum.IntEnum):
-    """Priority of a request; a higher one is always served first."""
+    """Priority of a request. Higher priorities are always served first."""
 
     LOW = 0
     NORMAL = 1
@@ -24,12 +24,12 @@
     """A request that waits for a grant.
 
     Attributes:
-      request_id: the request.
-      customer_id: whom it is for.
-      service_id: the service it needs.
-      priority: its priority.
-      cost: its expected work, in tokens, for fairness.
-      deadline_ms: entry clock reading of its deadline.
+      request_id: id of the request.
+      customer_id: the customer that sent the request.
+      service_id: the service that the request needs.
+      priority: priority of the request.
+      cost: expected work in tokens, by which customers share the service.
+      deadline_ms: reading of the entry's clock at which the request expires.
     """
 
     request_id: ids.RequestId
@@ -43,14 +43,19 @@
 class FairQueue:
     """Queue of one service, with start-time fair queueing per customer.
 
-    Each customer has a virtual time that grows by the cost of what it had
-    served; the customer with the lowest one goes next. A full queue evicts
-    from the customer with most waiting at the lowest priority, so one that
-    floods the queue only displaces its own requests.
+    Each customer has a virtual time that grows by the cost of each request
+    served. The customer with the lowest virtual time is served next. A full
+    queue evicts a request of the lowest priority from the customer with the
+    most waiting requests, so a customer that floods the queue displaces only
+    its own requests.
     """
 
     def __init__(self, length_max: int) -> None:
-        """Starts empty."""
+        """Creates an empty queue.
+
+        Args:
+          length_max: largest number of waiting requests.
+        """
         self.length_max = length_max
         self._lanes: dict[
             tuple[Priority, ids.CustomerId], collections.deque[Waiting]
@@ -66,10 +71,11 @@
     def ahead(
         self, priority: Priority, customer_id: ids.CustomerId
     ) -> list[Waiting]:
-        """Returns what would be served before a new request, roughly.
+        """Estimates which requests would be served before a new request.
 
-        That is all of higher priority, the customer's own of the same
-        priority, and as many of each other customer.
+        These are all requests of higher priority, the customer's own requests
+        of equal priority, and of each other customer one more than that many
+        requests of equal priority.
         """
         own = self._lanes.get((priority, customer_id), ())
         found: list[Waiting] = []
@@ -87,7 +93,8 @@
         """Adds a request.
 
         Returns:
-          The request displaced by it, possibly itself, or None.
+          The request that was displaced to make room, which may be the added
+          one, or None.
         """
         displaced = None
         if self._length >= self.length_max:
@@ -103,7 +110,7 @@
         return displaced
 
     def pop(self) -> Waiting | None:
-        """Removes and returns the request to serve next, or None."""
+        """Removes and returns the request to serve next, None if empty."""
         if not self._lanes:
             return None
         top = max(priority for priority, _ in self._lanes)
@@ -118,7 +125,7 @@
         return waiting
 
     def push_front(self, waiting: Waiting) -> None:
-        """Puts back a request that could not be started."""
+        """Puts back a popped request that could not be started."""
         key = (waiting.priority, waiting.customer_id)
         self._lanes.setdefault(key, collections.deque()).appendleft(waiting)
         self._length += 1
@@ -133,7 +140,7 @@
         return True
 
     def expired(self, now_ms: clock.Millis) -> list[Waiting]:
-        """Removes and returns requests whose deadline has passed."""
+        """Removes and returns the requests whose deadline has passed."""
         late = [
             waiting
             for lane in self._lanes.values()
--- a/src/marlramp/core/replica_table.py
+++ b/src/marlramp/core/replica_table.py
@@ -1,4 +1,8 @@
-"""The replicas of each service, kept in step with the list and the reports."""
+"""Stores the replicas of each service.
+
+The table is updated from the catalog's list of replicas and from the reports of
+the agents beside engines.
+"""
 
 from __future__ import annotations
 
@@ -17,16 +21,17 @@
 from marlramp.core import wait_bias
 from marlramp.core import way_times
 
-GONE_MAX = 4_096
-"""Replicas remembered after they left the list, the latest ones."""
+REMOVED_MAX = 4_096
+"""Number of replicas that are remembered after they left the list; the oldest
+are dropped."""
 
 
-class _Gone(msgspec.Struct, frozen=True):
-    """A replica that left the list though it may come back to it.
+class _RemovedReplica(msgspec.Struct, frozen=True):
+    """A replica that left the list and may return to it.
 
     Attributes:
-      born_ms: Unix time of its start, None where it is not known.
-      availability: what that start said of itself.
+      born_ms: Unix time of the replica's start, None if unknown.
+      availability: the pauses, backoff and drain that this start announced.
     """
 
     born_ms: int | None
@@ -34,10 +39,10 @@
 
 
 class ReplicaTable:
-    """Replicas by service, kept in step with the catalog."""
+    """Replicas by id and by service."""
 
     def __init__(self) -> None:
-        """Starts empty."""
+        """Creates an empty table."""
         self._views: dict[str, replica_view.ReplicaView] = {}
         self._by_service: dict[
             ids.ServiceId, list[replica_view.ReplicaView]
@@ -45,8 +50,8 @@
         self._reports: dict[str, tuple[replica_view.LoadReport, float]] = {}
         self._behind_bias: dict[ids.ServiceId, wait_bias.WaitBias] = {}
         self._front_bias: dict[ids.ServiceId, wait_bias.WaitBias] = {}
-        self._centre_ways: dict[ids.DataCentreId, way_times.WayTimes] = {}
-        self._gone: dict[str, _Gone] = {}
+        self._centre_latency: dict[ids.DataCentreId, way_times.WayTimes] = {}
+        self._removed: dict[str, _RemovedReplica] = {}
         self._listeners: list[Callable[[str], None]] = []
 
     def __iter__(self) -> Iterator[replica_view.ReplicaView]:
@@ -54,11 +59,15 @@
         return iter(list(self._views.values()))
 
     def listen(self, listener: Callable[[str], None]) -> None:
-        """Tells the id of a replica when the own requests there changed."""
+        """Adds a listener for changes of this entry's load at a replica.
+
+        Args:
+          listener: called with the id of the replica.
+        """
         self._listeners.append(listener)
 
     def get(self, replica_id: str) -> replica_view.ReplicaView | None:
-        """Returns one replica."""
+        """Returns the replica with an id, or None."""
         return self._views.get(replica_id)
 
     def at(self, address: str) -> list[replica_view.ReplicaView]:
@@ -66,43 +75,45 @@
         return [v for v in self._views.values() if v.replica.address == address]
 
     def of(self, service_id: ids.ServiceId) -> list[replica_view.ReplicaView]:
-        """Returns the replicas of a service, leaving ones too."""
+        """Returns the replicas of a service, including leaving ones."""
         return self._by_service.get(service_id, [])
 
     def sync(self, known: catalog.Catalog, now_ms: clock.Millis) -> list[str]:
-        """Takes over the catalog's replicas.
+        """Updates the table from the catalog's list of replicas.
 
         Returns:
-          Ids of replicas that are no longer there, or started again: nothing
-          that was known of them holds.
+          Ids of replicas that left the list or restarted, so that state kept
+          for them is no longer valid.
         """
         listed = {r.replica_id: r for r in known.replicas()}
-        gone = [key for key in self._views if key not in listed]
-        for replica_id in gone:
-            self._note_gone(replica_id)
+        removed = [key for key in self._views if key not in listed]
+        for replica_id in removed:
+            self._remove(replica_id)
         for replica_id, replica in listed.items():
             view = self._views.get(replica_id)
             if view is not None and replica_view.is_newer_start(
                 replica.born_ms, view.born_ms
             ):
-                gone.append(replica_id)
+                removed.append(replica_id)
                 view = None
             if view is None:
                 view = self._new_view(replica)
-                self._adopt_availability(view)
-                self._adopt_report(view, now_ms)
+                self._restore_availability(view)
+                self._apply_held_report(view, now_ms)
             view.replica = replica
             view.born_ms = view.born_ms or replica.born_ms
-        self._group()
-        return gone
+        self._group_by_service()
+        return removed
 
     def report(
         self, report: replica_view.LoadReport, now_ms: clock.Millis
     ) -> list[str]:
-        """Takes an agent's report of the engine at an address.
+        """Applies an agent's report on the engine at an address.
+
+        A report of an earlier start than the last known one is ignored.
 
         Returns:
-          Ids of replicas that the report shows to have started again.
+          Ids of replicas that have restarted according to the report.
         """
         held = self._reports.get(report.address)
         if held is not None and replica_view.is_newer_start(
@@ -119,16 +130,16 @@
             if replica_view.is_newer_start(report.born_ms, view.born_ms):
                 restarted.append(replica_id)
                 view = self._new_view(view.replica)
-            self._take(view, report, now_ms)
+            self._apply_report(view, report, now_ms)
         if restarted:
-            self._group()
+            self._group_by_service()
         return restarted
 
     def _new_view(self, replica: fleet.Replica) -> replica_view.ReplicaView:
-        """Starts to know a replica, also in the place of an earlier start.
+        """Adds a fresh view of a replica, replacing that of an earlier start.
 
-        Requests under way at the earlier start keep the view they were sent
-        with, so that their ends change nothing here.
+        Requests in flight at the earlier start keep the view with which they
+        were sent, so that their ends do not change the new view.
         """
         view = replica_view.ReplicaView(
             replica,
@@ -141,54 +152,57 @@
             front_bias=self._front_bias.setdefault(
                 replica.service_id, wait_bias.WaitBias()
             ),
-            on_load_change=self._note_load_change,
+            on_load_change=self._notify_load_change,
             born_ms=replica.born_ms,
-            centre_ways=self._centre_ways.setdefault(
+            centre_ways=self._centre_latency.setdefault(
                 replica.data_centre, way_times.WayTimes()
             ),
         )
         self._views[replica.replica_id] = view
         return view
 
-    def _note_gone(self, replica_id: str) -> None:
-        """Drops a replica, but for what its start said of itself.
+    def _remove(self, replica_id: str) -> None:
+        """Removes a replica and remembers its availability.
 
-        A list that was short for a moment must not open one that leaves.
+        A replica that is leaving must stay closed if it is missing from the
+        list for a moment and then returns.
         """
         view = self._views.pop(replica_id)
-        self._gone.pop(replica_id, None)
-        self._gone[replica_id] = _Gone(view.born_ms, view.availability)
-        if len(self._gone) > GONE_MAX:
-            del self._gone[next(iter(self._gone))]
-
-    def _adopt_availability(self, view: replica_view.ReplicaView) -> None:
-        """Takes over what the same start said before it left the list."""
-        held = self._gone.pop(view.replica.replica_id, None)
+        self._removed.pop(replica_id, None)
+        self._removed[replica_id] = _RemovedReplica(
+            view.born_ms, view.availability
+        )
+        if len(self._removed) > REMOVED_MAX:
+            del self._removed[next(iter(self._removed))]
+
+    def _restore_availability(self, view: replica_view.ReplicaView) -> None:
+        """Restores the availability that this start had before its removal."""
+        held = self._removed.pop(view.replica.replica_id, None)
         if held is None or view.born_ms is None:
             return
         if not replica_view.is_newer_start(view.born_ms, held.born_ms):
             view.availability = held.availability
 
-    def _note_load_change(self, replica_id: str) -> None:
+    def _notify_load_change(self, replica_id: str) -> None:
         for listener in self._listeners:
             listener(replica_id)
 
-    def _group(self) -> None:
+    def _group_by_service(self) -> None:
         self._by_service = {}
         for view in self._views.values():
             service_id = view.replica.service_id
             self._by_service.setdefault(service_id, []).append(view)
 
-    def _adopt_report(
+    def _apply_held_report(
         self, view: replica_view.ReplicaView, now_ms: clock.Millis
     ) -> None:
         held = self._reports.get(view.replica.address)
         if held is None or now_ms - held[1] >= replica_view.REPORT_FRESH_MS:
             return
         if not replica_view.is_newer_start(view.born_ms, held[0].born_ms):
-            self._take(view, held[0], now_ms)
+            self._apply_report(view, held[0], now_ms)
 
-    def _take(
+    def _apply_report(
         self,
         view: replica_view.ReplicaView,
         report: replica_view.LoadReport,
--- a/src/marlramp/core/replica_view.py
+++ b/src/marlramp/core/replica_view.py
@@ -1,8 +1,9 @@
-"""One replica as an entry believes it to be.
+"""Holds what an entry knows about one replica.
 
-Three sources meet here: the platform's list (who exists, who is leaving), the
-reports of the agents beside engines (load and weights, fresh), and what this
-entry saw itself on its own requests, which goes before both.
+The state combines three sources: the platform's list (which replicas exist and
+which are leaving), the recent reports of the agents beside engines (load and
+weights), and the outcomes of this entry's own requests, which take precedence
+over the other two.
 """
 
 from __future__ import annotations
@@ -22,75 +23,84 @@
 from marlramp.core import way_times
 
 REPORT_FRESH_MS = 1_500.0
-"""An agent's report counts this long; agents report every 500 ms or sooner."""
+"""Age up to which an agent's report is valid. Agents report at least every
+500 ms."""
 
 FAILURES_MAX = 3
-"""Failures in a row that open a replica's breaker."""
+"""Number of consecutive failures that open a replica's circuit breaker."""
 
 BREAKER_OPEN_MS = 1_500.0
-"""How long a failing replica gets no requests, but for one trial."""
+"""Time for which an open breaker excludes a replica before it lets one trial
+request through."""
 
 MISDIRECTED_BACKOFF_MS = 400.0
-"""How long a replica that did not hold the expected weights is spared: two
-of an engine's own reporting lags."""
+"""Backoff of a replica that did not hold the expected weights: twice the delay
+of an engine's own reports."""
 
 TIME_SMOOTHING = 0.1
-"""Weight of the newest answer in a replica's smoothed time."""
+"""Weight of the newest answer in a replica's smoothed times."""
 
 RUN_DEFAULT_MS = 1_300.0
-"""Expected time of a stream before the first one ended: 18 passes of some
-70 ms."""
+"""Expected duration of a stream before the first one has ended: 18 engine steps
+of about 70 ms."""
 
 EVENT_DEFAULT_MS = 75.0
-"""Expected time between two events before the first stream ended: a pass of
-51 ms, and the prompts read between two passes."""
+"""Expected time between two events before the first stream has ended: an engine
+step of 51 ms, and the prompts that are read between two steps."""
 
 BIAS_MIN = 0.5
 BIAS_MAX = 3.0
-"""Bounds of one observation, so that one stall does not close an engine."""
+"""Bounds of one observed ratio, so that a single stall does not make an engine
+look too slow to receive requests."""
 
 FAILURE_SMOOTHING = 0.15
-"""Weight of the newest answer in a replica's share of failures: a replica
-that fails two in five requests stands out after some six answers."""
+"""Weight of the newest answer in a replica's share of failures. A replica that
+fails two in five requests stands out after about six answers."""
 
 FAILURE_HALF_LIFE_MS = 10_000.0
-"""Time after which failures count half: a replica that gets nothing for them
-shows no other way that it serves again."""
+"""Half-life of the share of failures. A replica that receives no requests
+because of its failures cannot otherwise show that it has recovered."""
 
 ANSWERS_MAX = 10
-"""Plain answers that tell most of what a replica's smoothed time can tell."""
+"""Number of plain answers beyond which more of them add no confidence in a
+replica's smoothed time."""
 
-ANSWERS_DOUBT = 1.0
-"""Answers at which a smoothed time counts half."""
+ANSWERS_HALF_CONFIDENCE = 1.0
+"""Number of answers at which a smoothed time has half its full weight."""
 
 ANSWERS_HALF_LIFE_MS = 10_000.0
-"""Time after which answers count as half as many."""
+"""Half-life of the number of answers, in milliseconds."""
 
 TIME_DEFAULT_MS = 40.0
-"""Expected time of a plain answer before the first one was seen."""
+"""Expected time of a plain answer before the first one has arrived."""
 
 
 def is_newer_start(born_ms: int | None, than_ms: int | None) -> bool:
-    """Returns whether a start is known to be later than another."""
+    """Returns whether a start is known to be later than another.
+
+    Args:
+      born_ms: Unix time of the start, None if unknown.
+      than_ms: Unix time of the other start, None if unknown.
+    """
     return born_ms is not None and than_ms is not None and born_ms > than_ms
 
 
 class LoadReport(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """What an agent reports of the engine on its VM.
+    """An agent's report on the engine on its VM.
 
     Attributes:
       address: "host:port" of the engine.
-      weights: version that all layers hold, 0 if none or several.
-      running: requests that have a place.
-      waiting: requests that wait.
-      pace: measured slowness, 1 for none.
-      opens: whether the engine takes new requests; False around a change of
+      weights: version that all layers hold, 0 if they hold none or several.
+      running: number of requests that hold a slot in the batch.
+      waiting: number of requests that wait for a slot.
+      pace: measured slowdown factor, 1 for an engine at its specified speed.
+      opens: whether the engine accepts new requests; False around a change of
         weights.
-      closes_in_ms: time until what runs there is cut for a change of weights,
-        None if none is planned.
-      born_ms: Unix time of the engine's start, None where the platform does
-        not say.
-      leaving: whether the engine says that it leaves.
+      closes_in_ms: time until running requests are cut off for a change of
+        weights, None if no change is planned.
+      born_ms: Unix time of the engine's start, None if the platform doesn't
+        report it.
+      leaving: whether the engine reports that it is leaving.
     """
 
     address: str
@@ -104,57 +114,65 @@
     leaving: bool = False
 
 
-def _ignore(replica_id: str) -> None:
-    """Takes a change that nobody listens to."""
+def _ignore_change(replica_id: str) -> None:
+    """Ignores a change of load."""
 
 
 class ReplicaView(msgspec.Struct):
-    """What this entry believes of one replica.
+    """What this entry knows about one replica.
+
+    The times that end in `reported_ms`, `load_ms`, `seen_ms`, `answered_ms` and
+    `heard_ms` are clock readings.
 
     Attributes:
-      replica: its entry in the list.
-      report: the last report of the agent beside it.
-      reported_ms: when that arrived.
-      in_flight: own requests there.
-      unread: prompt tokens of own requests there that brought no event yet,
-        without those that wait behind the others.
-      behind: own requests that wait behind the others there.
-      behind_unread: their prompt tokens.
-      others_in_flight: requests of other entries there, as far as they tell.
-      others_unread: like `unread`, of other entries.
-      others_behind: like `behind`, of other entries.
-      others_behind_unread: their prompt tokens.
-      known_then: requests there that this entry knew of at the last word on
-        its load.
-      running: requests running there at the last word on its load.
-      waiting: requests waiting there at that time.
-      load_ms: time of the last word on its load.
-      seen_weights: version last seen on an answer, None before.
-      seen_ms: when that was.
+      replica: the replica's record in the platform's list.
+      report: the last report of the agent beside the replica.
+      reported_ms: when the last report arrived.
+      in_flight: number of this entry's requests at the replica.
+      unread: prompt tokens of this entry's requests at the replica that have
+        produced no event yet, without those queued at the back.
+      behind: number of this entry's requests queued at the back.
+      behind_unread: prompt tokens of this entry's requests queued at the back.
+      others_in_flight: number of requests that other entries report at the
+        replica.
+      others_unread: like `unread`, for other entries.
+      others_behind: like `behind`, for other entries.
+      others_behind_unread: like `behind_unread`, for other entries.
+      known_at_load: number of requests at the replica that this entry knew of
+        when the load was last reported.
+      running: number of running requests in the last load report.
+      waiting: number of waiting requests in the last load report.
+      load_ms: time of the last load report.
+      seen_weights: version that the last answer named, None before the first.
+      seen_ms: when that answer arrived.
       answer_ms: smoothed time of a plain answer.
-      answers: plain answers so far.
-      answered_ms: when the last of them came.
+      answers: number of plain answers so far.
+      answered_ms: when the last plain answer arrived.
       run_ms: smoothed time from a stream's first event to its end.
       event_ms: smoothed time between two events of a stream.
-      bias: smoothed ratio of actual to predicted times to the first event.
-      front_bias: the same over all replicas of the service: an entry among
-        many sees a first event of each replica once in seconds, and is wrong
-        about all of them alike when they fill up.
-      behind_bias: the same of requests that wait behind the others.
-      availability: when it takes requests, by its own answers.
-      heard_ms: when any byte of it arrived last.
-      breaker: its circuit breaker.
-      on_load_change: takes its id when the own requests there changed.
-      born_ms: Unix time of its newest start heard of, None if none was told.
-      limit: the limit that it names over all entries together, None while it
-        names none.
-      ways: what opening connections to it took.
-      centre_ways: the same over all replicas of its data centre.
+      bias: smoothed ratio of actual to predicted times to the first event, for
+        this replica.
+      front_bias: ratio of actual to predicted times to the first event over
+        all replicas of the service. An entry among many sees a first event of
+        each replica only once in seconds, and when the replicas fill up its
+        predictions are wrong for all of them alike.
+      behind_bias: like `front_bias`, for requests queued at the back.
+      availability: whether the replica accepts requests, as its answers show.
+      heard_ms: when any byte last arrived from the replica.
+      breaker: the replica's circuit breaker.
+      on_load_change: called with the replica's id when the number of this
+        entry's requests at the replica changes.
+      born_ms: Unix time of the newest start that was reported, None if none
+        was.
+      limit: the rate limit that the replica announced for all entries
+        together, None if it announced none.
+      ways: latency of the path to the replica.
+      centre_ways: path latency over all replicas of the replica's data centre.
     """
 
     replica: fleet.Replica
     breaker: breaker.Breaker
-    on_load_change: Callable[[str], None] = _ignore
+    on_load_change: Callable[[str], None] = _ignore_change
     report: LoadReport | None = None
     reported_ms: float = float("-inf")
     in_flight: int = 0
@@ -165,7 +183,7 @@
     others_unread: int = 0
     others_behind: int = 0
     others_behind_unread: int = 0
-    known_then: int = 0
+    known_at_load: int = 0
     running: int = 0
     waiting: int = 0
     load_ms: float = float("-inf")
@@ -197,7 +215,7 @@
     )
 
     def weights(self, now_ms: clock.Millis) -> int:
-        """Returns the version believed to be loaded, 0 if none is."""
+        """Returns the version that is believed to be loaded, 0 for none."""
         report_age_ms = now_ms - self.reported_ms
         if self.report is not None and report_age_ms < REPORT_FRESH_MS:
             if self.seen_ms > self.reported_ms:
@@ -208,50 +226,55 @@
 
     @property
     def _is_listed_older(self) -> bool:
-        """Whether the list still has an earlier start of this replica."""
+        """Whether the list still shows an earlier start of the replica."""
         return is_newer_start(self.born_ms, self.replica.born_ms)
 
     def opens(self, now_ms: clock.Millis) -> bool:
-        """Returns whether it takes new requests as far as is known."""
+        """Returns whether the replica is believed to accept new requests."""
         return self.availability.opens(now_ms) and self.is_reported_open(now_ms)
 
     def is_reported_open(self, now_ms: clock.Millis) -> bool:
-        """Returns whether the agent beside it does not say otherwise."""
+        """Returns whether no recent agent report says that it is closed."""
         fresh = now_ms - self.reported_ms < REPORT_FRESH_MS
         return self.report is None or not fresh or self.report.opens
 
     def takes(self, now_ms: clock.Millis) -> bool:
-        """Returns whether a request that was meant for it may be written."""
+        """Returns whether a request assigned to the replica may be written."""
         healthy = self.replica.state is fleet.ReplicaState.HEALTHY
         return healthy and self.availability.takes(now_ms)
 
     def limit_wait_ms(self, now_ms: clock.Millis) -> float:
-        """Returns how long its limit is expected to hold a request back."""
+        """Returns the expected wait for the replica's rate limit."""
         return 0.0 if self.limit is None else self.limit.wait_ms(now_ms)
 
     def load(self, now_ms: clock.Millis) -> float:
-        """Returns the requests believed to be there now.
+        """Returns the estimated number of requests at the replica now.
 
-        The last word on its load counts all requests; what came and went
-        since is known of the own requests and of those that others tell.
+        The last load report counts all requests. Changes since that report are
+        known for the requests of this entry and those that other entries
+        report.
         """
         known = self.in_flight + self.others_in_flight
         if now_ms - self.load_ms > REPORT_FRESH_MS:
             return float(known)
-        told = self.running + self.waiting + known - self.known_then
-        return float(max(known, told))
+        reported = self.running + self.waiting + known - self.known_at_load
+        return float(max(known, reported))
 
     def load_ahead(
         self, place: queue_place.QueuePlace, now_ms: clock.Millis
     ) -> float:
-        """Returns the requests there that a request of some place waits for.
-
-        Requests that wait behind the others yield to one that goes in front;
-        those of them that have a place in the batch already do not. Of the
-        requests that nobody told of, as many are taken to yield as of those
-        that are known: two thirds of all waiting ones where three regions
-        share the engines, without which four in ten requests that could begin
-        in time were taken to be late.
+        """Returns the number of requests that run before a new request.
+
+        Requests queued at the back yield to a new request in front, except
+        those that already hold a slot in the batch. The share that yields is
+        known only for requests that entries report, and is assumed to be equal
+        for all others. Where three regions share the engines, two thirds of
+        all waiting requests yield; without this rule four in ten requests that
+        could begin in time were classed as late.
+
+        Args:
+          place: position of the new request in the engine's queue.
+          now_ms: the time.
         """
         load = self.load(now_ms)
         if place is queue_place.QueuePlace.BEHIND:
@@ -260,13 +283,13 @@
         return load - waiting * self._yielding_share()
 
     def _yielding_share(self) -> float:
-        """Returns the part of the unbegun requests that yield to others."""
+        """Returns the share of unread prompt tokens queued at the back."""
         behind = self.behind_unread + self.others_behind_unread
         unread = behind + self.unread + self.others_unread
         return behind / unread if unread else 0.0
 
     def unread_ahead(self, place: queue_place.QueuePlace) -> int:
-        """Returns the prompt tokens that are read before a request's own."""
+        """Returns the known prompt tokens that are read before a request's."""
         front = self.unread + self.others_unread
         if place is queue_place.QueuePlace.FRONT:
             return front
@@ -275,11 +298,11 @@
     def note_load(
         self, running: int, waiting: int, now_ms: clock.Millis
     ) -> None:
-        """Takes a word on its load that is true now."""
+        """Records the current load that the replica or its agent reports."""
         self.running = running
         self.waiting = waiting
         self.load_ms = now_ms
-        self.known_then = self.in_flight + self.others_in_flight
+        self.known_at_load = self.in_flight + self.others_in_flight
 
     def note_sent(
         self,
@@ -287,7 +310,7 @@
         now_ms: clock.Millis,
         place: queue_place.QueuePlace = queue_place.QueuePlace.FRONT,
     ) -> None:
-        """Counts a request sent there."""
+        """Counts a request that was sent to the replica."""
         self.in_flight += 1
         if place is queue_place.QueuePlace.BEHIND:
             self.behind += 1
@@ -303,7 +326,7 @@
         prompt_tokens: int,
         place: queue_place.QueuePlace = queue_place.QueuePlace.FRONT,
     ) -> None:
-        """Counts a request whose prompt was read, or that ended unread."""
+        """Counts a request whose prompt was read, or that ended before."""
         if place is queue_place.QueuePlace.BEHIND:
             self.behind = max(0, self.behind - 1)
             self.behind_unread = max(0, self.behind_unread - prompt_tokens)
@@ -312,15 +335,15 @@
         self.on_load_change(self.replica.replica_id)
 
     def note_ended(self) -> None:
-        """Counts a request that ended there."""
+        """Counts a request that ended at the replica."""
         self.in_flight -= 1
         self.on_load_change(self.replica.replica_id)
 
     def note_answered(self, taken_ms: float, now_ms: clock.Millis) -> None:
-        """Takes the time of a good plain answer.
+        """Records the duration of a successful plain answer.
 
-        The first ones count alike: a replica that gets few requests is known by
-        them, not by what was assumed before.
+        The first answers have equal weight, so that a replica that receives few
+        requests is judged by them and not by the default.
         """
         self.answers += 1
         weight = max(TIME_SMOOTHING, 1.0 / self.answers)
@@ -328,52 +351,57 @@
         self.answered_ms = now_ms
 
     def likely_answer_ms(self, least_ms: float, now_ms: clock.Millis) -> float:
-        """Returns the time of a plain answer, as far as it is known.
+        """Returns the expected time of a plain answer.
 
-        One that is known by few or old answers counts as nearly as fast as the
-        fastest, or it would get no request that shows how fast it is.
+        A replica with few or old answers is assumed to be nearly as fast as the
+        fastest one. Otherwise it would receive no request that could show its
+        speed.
 
         Args:
-          least_ms: the least smoothed time of the service's replicas.
+          least_ms: the least smoothed answer time of the service's replicas.
           now_ms: the time.
         """
         recent = min(self.answers, ANSWERS_MAX)
         if recent:
             age_ms = now_ms - self.answered_ms
             recent *= 0.5 ** (age_ms / ANSWERS_HALF_LIFE_MS)
-        known_share = recent / (recent + ANSWERS_DOUBT)
-        return least_ms + known_share * max(0.0, self.answer_ms - least_ms)
+        confidence = recent / (recent + ANSWERS_HALF_CONFIDENCE)
+        return least_ms + confidence * max(0.0, self.answer_ms - least_ms)
 
     def note_way(self, way_ms: float, now_ms: clock.Millis) -> None:
-        """Takes what opening a connection to it took."""
+        """Records the time that opening a connection to the replica took."""
         self.ways.note(way_ms, now_ms)
         self.centre_ways.note(way_ms, now_ms)
 
     def note_way_at_least(self, way_ms: float, now_ms: clock.Millis) -> None:
-        """Takes what opening a connection to it has taken so far."""
+        """Records the time spent so far on opening an unfinished connection."""
         self.ways.note_at_least(way_ms, now_ms)
         self.centre_ways.note_at_least(way_ms, now_ms)
 
     def way_ms(self, now_ms: clock.Millis) -> float:
-        """Returns the way to it that is to be reckoned with now.
+        """Returns the path latency to the replica to allow for, 0 if unknown.
 
-        What is sent to it is there by then, 0 if nothing is known.
+        Data that is sent now is expected to arrive within this time.
         """
         return way_times.way_ms(self.ways, self.centre_ways, now_ms)
 
     def way_beyond_short_ms(self, now_ms: clock.Millis) -> float:
-        """Returns by how much that way is longer than margins have room for."""
+        """Returns by how much the path latency exceeds the fixed margins."""
         return way_times.beyond_short_ms(self.way_ms(now_ms))
 
     def note_run(self, taken_ms: float, events: int) -> None:
-        """Takes the time from a stream's first event to its end."""
+        """Records the time from a stream's first event to its end."""
         self.run_ms += TIME_SMOOTHING * (taken_ms - self.run_ms)
         if events > 1:
             event_ms = taken_ms / (events - 1)
             self.event_ms += TIME_SMOOTHING * (event_ms - self.event_ms)
 
     def closes_in_ms(self, now_ms: clock.Millis) -> float:
-        """Returns the time until it closes for new weights, if it will."""
+        """Returns the time until the engine closes to change its weights.
+
+        The time is infinite if no change is planned, and negative if it has
+        passed.
+        """
         report = self.report
         if report is None or report.closes_in_ms is None:
             return float("inf")
@@ -382,7 +410,7 @@
     def bias_of(
         self, place: queue_place.QueuePlace, now_ms: clock.Millis
     ) -> float:
-        """Returns by what a predicted time to a first event is multiplied."""
+        """Returns the factor that corrects a predicted time to first event."""
         shared = self.shared_bias_of(place, now_ms)
         if place is queue_place.QueuePlace.BEHIND:
             return shared
@@ -391,7 +419,7 @@
     def shared_bias_of(
         self, place: queue_place.QueuePlace, now_ms: clock.Millis
     ) -> float:
-        """Returns the part of that factor that all replicas have in common."""
+        """Returns the correction factor over all replicas of the service."""
         if place is queue_place.QueuePlace.BEHIND:
             return self.behind_bias.factor(now_ms)
         return max(1.0, self.front_bias.factor(now_ms))
@@ -399,11 +427,11 @@
     def note_first(
         self, taken_ms: float, predicted_ms: float, now_ms: clock.Millis
     ) -> None:
-        """Takes the time to a first event and what was predicted.
+        """Records the time to a first event and its prediction.
 
         Args:
-          taken_ms: the time that it took.
-          predicted_ms: prediction without any bias.
+          taken_ms: the time that the first event took.
+          predicted_ms: the prediction without any correction factor.
           now_ms: the time.
         """
         shared = max(1.0, self.front_bias.factor(now_ms))
@@ -420,29 +448,30 @@
         )
 
     def note_good(self, now_ms: clock.Millis) -> None:
-        """Counts a good answer."""
-        self._note_outcome(0.0, now_ms)
+        """Counts a successful answer."""
+        self._record_outcome(0.0, now_ms)
         self.breaker.record_success()
 
     def note_error(self, now_ms: clock.Millis) -> None:
         """Counts an answer that reports a failure."""
-        self._note_outcome(1.0, now_ms)
+        self._record_outcome(1.0, now_ms)
 
     def note_broken(self, now_ms: clock.Millis) -> None:
-        """Counts a request that got no whole answer."""
+        """Counts a request that received no complete answer."""
         self.note_error(now_ms)
         self.breaker.record_failure(now_ms)
 
     def note_unreachable(self, now_ms: clock.Millis) -> None:
         """Counts a connection that could not be opened.
 
-        The replica is down, cut off or has no room: another try by each of
-        several requests would cost each of them one of its few attempts.
+        The replica is down, unreachable or full, so the breaker opens at once.
+        If several requests tried it again, each would lose one of its few
+        attempts.
         """
         self.note_error(now_ms)
         self.breaker.trip(now_ms)
 
-    def _note_outcome(self, failed: float, now_ms: clock.Millis) -> None:
+    def _record_outcome(self, failed: float, now_ms: clock.Millis) -> None:
         share = self.failure_share(now_ms)
         self._failure_share = share + FAILURE_SMOOTHING * (failed - share)
         self._outcome_ms = now_ms
--- a/src/marlramp/core/upstream_choice.py
+++ b/src/marlramp/core/upstream_choice.py
@@ -1,4 +1,8 @@
-"""Choice of the replica for one request on the direct path."""
+"""Selects a replica for one request on the direct path.
+
+The replicas that may receive the request are ranked by their predicted time to
+the first event, plus penalties for failures, distance and planned closing.
+"""
 
 from __future__ import annotations
 
@@ -19,36 +23,38 @@
 from marlramp.core import weights_gate
 
 FAILURE_WEIGHT = 4.0
-"""How much a share of failures lengthens the predicted time."""
+"""Factor by which the share of failures lengthens the predicted time."""
 
 OVERRUN_WEIGHT = 0.5
-"""Cost of running on beyond the time at which the replica closes: what runs
-then is cut with some likelihood, and read again elsewhere."""
+"""Cost per millisecond for which a request runs past the time at which the
+replica closes. Such a request is likely to be cut off, and its prompt is then
+read again on another replica."""
 
 REMOTE_PENALTY_MS = 40.0
-"""Advantage of a replica in the own region: the way there and back takes
-5.6 ms longer from another region, and bytes between regions are scarce."""
+"""Cost of a replica in another region: the round trip between regions takes
+5.6 ms longer, and bandwidth between regions is scarce."""
 
 OTHER_CELL_PENALTY_MS = 20.0
-"""Advantage of an engine of the own cell over others in the region: its load
-is known to 20 ms, theirs to a second."""
+"""Cost of an engine of another cell in the entry's region: its load is known
+with a delay of up to a second, that of an engine in the entry's cell with a
+delay of 20 ms."""
 
-NEAR_SHARE = 0.25
-"""Part of the least cost by which those of idle plain replicas may differ and
-still count as equal: smoothed times of equal replicas differ by as much."""
+NEAR_BEST_SHARE = 0.25
+"""Relative difference in cost within which idle plain replicas count as equal:
+the smoothed answer times of identical replicas differ by as much."""
 
-ALONE_COST_MS = 1_000.0
-"""Cost of each other request at a replica for one that goes where few run: far
-more than any difference in time."""
+ISOLATION_COST_MS = 1_000.0
+"""Cost of each request at a replica for an isolated request, which goes to the
+replica with the fewest requests. It outweighs any difference in time."""
 
 
 class Places(msgspec.Struct, frozen=True):
-    """Where the replicas are that an entry prefers.
+    """The locations that an entry prefers.
 
     Attributes:
-      near: data centres of its region.
-      cell_hosts: addresses of the VMs whose engines belong to its cell; empty
-        if it knows of none.
+      near: data centres of the entry's region.
+      cell_hosts: addresses of the VMs whose engines belong to the entry's
+        cell; empty if the entry knows none.
     """
 
     near: Collection[str]
@@ -60,7 +66,7 @@
         return host in self.cell_hosts
 
     def penalty_ms(self, view: replica_view.ReplicaView) -> float:
-        """Returns what the place of a replica adds to its cost."""
+        """Returns the cost of a replica's location."""
         if view.replica.data_centre not in self.near:
             return REMOTE_PENALTY_MS
         if not self.cell_hosts or self.in_cell(view):
@@ -69,20 +75,22 @@
 
 
 class Wanted(msgspec.Struct, frozen=True, kw_only=True):
-    """What a request needs of a replica.
+    """What a request requires of a replica.
 
     Attributes:
       engine: the service's engine, None for a plain service.
-      prompt_tokens: tokens of the prompt.
-      events: events that the answer is expected to have.
+      prompt_tokens: number of tokens in the prompt.
+      events: expected number of events in the answer.
       oldest_weights: oldest version that the request may begin on.
-      leaves: until when it may be sent to older ones, sooner behind long ways.
-      failed: ids of replicas that this request already failed at.
-      place: where it would wait in an engine's queue.
-      alone: whether it goes where the fewest others run, since it may crash
-        the replica.
-      limit_wait_max_ms: how long its answer may come later for the limits that
-        replicas name.
+      leaves: the times until which replicas that hold older versions may be
+        sent the request; for a replica with a high path latency the time is
+        earlier.
+      failed: ids of the replicas at which this request has failed already.
+      place: position in the engine's queue.
+      alone: whether the request goes to the replica with the fewest requests,
+        because it may crash the replica.
+      limit_wait_max_ms: longest delay of the answer that the rate limits of
+        replicas may cause.
     """
 
     engine: fleet.EngineSpec | None
@@ -97,25 +105,29 @@
 
 
 class Choice(msgspec.Struct, frozen=True):
-    """A replica and when it is predicted to answer.
+    """A replica and its predicted time to answer a request.
 
     Attributes:
       view: the replica.
-      predicted_ms: time to the answer or its first event.
-      unbiased_ms: the same by the engine's figures alone.
-      load: requests believed to be there.
-      load_age_ms: age of the last word on its load, infinite without one.
-      unread_tokens: prompt tokens there that are read before its own.
-      place: where it waits in an engine's queue.
+      predicted_ms: predicted time to the answer or its first event.
+      unbiased_ms: predicted time to the answer or its first event, without the
+        correction by observed waits and without the wait for a rate limit.
+      load: estimated number of requests at the replica.
+      load_age_ms: age of the last load report, infinite without one.
+      unread_tokens: prompt tokens at the replica that are read before those of
+        the request.
+      place: position in the engine's queue.
       weights: version that the replica was believed to hold.
-      begins_until_ms: a reading of the clock, at which it is taken back from a
-        replica behind a short way if it has not begun there.
-      sent_until_ms: a reading of the clock, from which it may not be written to
-        such a replica any more.
-      begins_within_ms: time from the choice until then, infinite while no newer
-        version is named.
-      limit_per_s: limit that the replica is known to name, None for none.
-      limit_wait_max_ms: how long it may wait for that limit.
+      begins_until_ms: clock reading at which the request is withdrawn from a
+        replica with a low path latency if it has not begun there.
+      sent_until_ms: clock reading from which the request may no longer be
+        written to a replica with a low path latency.
+      begins_within_ms: time from the choice until the request is withdrawn if
+        it has not begun, infinite while no newer version is announced.
+      limit_per_s: rate limit that the replica announced, in requests per
+        second; None for none.
+      limit_wait_max_ms: longest time that the request may wait for the rate
+        limit.
     """
 
     view: replica_view.ReplicaView
@@ -133,21 +145,25 @@
     limit_wait_max_ms: float = 0.0
 
     def taken_back_ms(self, now_ms: clock.Millis) -> float:
-        """Returns when it is taken back if it has not begun, as of now."""
+        """Returns when the request is withdrawn if it has not begun.
+
+        The result is a clock reading. It depends on the path latency that is
+        known at `now_ms`.
+        """
         return self.begins_until_ms - self.view.way_beyond_short_ms(now_ms)
 
     def needs_way(self, now_ms: clock.Millis) -> bool:
-        """Returns whether the way is to be measured before it is written.
+        """Returns whether the path latency must be measured before writing.
 
-        A link may have filled since a way was measured, and a request that is
-        under way for longer than margins have room for begins too late.
+        A link may have become congested since the last measurement. A request
+        that travels for longer than the margins allow for begins too late.
         """
         if now_ms < self.sent_until_ms - way_times.MEASURED_BEFORE_MS:
             return False
         return self.view.ways.age_ms(now_ms) > way_times.OWN_FRESH_MS
 
     def may_be_written(self, now_ms: clock.Millis) -> bool:
-        """Returns whether its version may still be sent the request."""
+        """Returns whether the request may still be sent to this version."""
         beyond_ms = self.view.way_beyond_short_ms(now_ms)
         return now_ms < self.sent_until_ms - beyond_ms
 
@@ -155,22 +171,32 @@
 def usable(
     view: replica_view.ReplicaView, wanted: Wanted, now_ms: clock.Millis
 ) -> bool:
-    """Returns whether a replica may get the request, its limit apart."""
-    return _fits(view, wanted, now_ms) and view.opens(now_ms)
+    """Returns whether a replica may receive the request.
+
+    The replica's rate limit isn't considered.
+    """
+    return _is_compatible(view, wanted, now_ms) and view.opens(now_ms)
 
 
 def still_usable(
     view: replica_view.ReplicaView, wanted: Wanted, now_ms: clock.Millis
 ) -> bool:
-    """Returns whether a replica that was chosen may still get the request."""
+    """Returns whether a replica that was selected may still get the request.
+
+    Backoffs and trials after the selection are ignored.
+    """
     open_now = view.takes(now_ms) and view.is_reported_open(now_ms)
-    return open_now and _fits(view, wanted, now_ms)
+    return open_now and _is_compatible(view, wanted, now_ms)
 
 
-def _fits(
+def _is_compatible(
     view: replica_view.ReplicaView, wanted: Wanted, now_ms: clock.Millis
 ) -> bool:
-    """Returns whether a replica can run the request, open or not."""
+    """Returns whether a replica is healthy and holds an allowed version.
+
+    Pauses and backoffs aren't considered, nor whether the agent reports the
+    replica as open.
+    """
     if view.replica.state is not fleet.ReplicaState.HEALTHY:
         return False
     if wanted.engine is not None:
@@ -188,17 +214,17 @@
     wanted: Wanted,
     now_ms: clock.Millis,
 ) -> list[replica_view.ReplicaView]:
-    """Returns the replica to ask again when only own backoffs close all.
+    """Returns the replica to retry when this entry backs off from all of them.
 
-    One request at a time finds out, over all of them, so that callers are not
-    refused for long beside a replica that serves again.
+    A single request at a time, over all replicas, checks whether one serves
+    again, so that callers are not refused for long after a replica recovers.
     """
     backing_off = [
         view
         for view in views
         if view.replica.replica_id not in wanted.failed
         and view.availability.is_backing_off(now_ms)
-        and _fits(view, wanted, now_ms)
+        and _is_compatible(view, wanted, now_ms)
         and view.is_reported_open(now_ms)
     ]
     if any(view.availability.in_trial(now_ms) for view in backing_off):
@@ -217,9 +243,10 @@
 
     Args:
       view: the replica.
-      wanted: what the request needs.
+      wanted: what the request requires.
       now_ms: the time.
-      least_ms: least smoothed time of the plain replicas that may get it.
+      least_ms: least smoothed answer time of the plain replicas that may
+        receive the request.
     """
     if wanted.engine is None:
         least_ms = min(least_ms, view.answer_ms)
@@ -239,21 +266,21 @@
     )
 
 
-def overrun_ms(
+def _overrun_ms(
     choice_ms: float,
     view: replica_view.ReplicaView,
     wanted: Wanted,
     now_ms: clock.Millis,
 ) -> float:
-    """Returns how long the request would still run when the replica closes.
+    """Returns for how long the request would run after the replica closes.
 
-    An engine that changes its weights waits for what runs there; requests
-    that end in time keep it busy until then, and the others go elsewhere.
+    An engine that changes its weights waits for running requests. Requests
+    that end in time may use it until then; others should run elsewhere.
 
     Args:
       choice_ms: predicted time to the first event.
       view: the replica.
-      wanted: what the request needs.
+      wanted: what the request requires.
       now_ms: the time.
     """
     run_ms = choice_ms + wanted.events * view.event_ms
@@ -263,15 +290,15 @@
 def limit_wait_max_ms(
     view: replica_view.ReplicaView, wanted: Wanted, now_ms: clock.Millis
 ) -> float:
-    """Returns how long a request may wait for the limit of a replica."""
+    """Returns how long a request may wait for a replica's rate limit."""
     answer_ms = predicted_ms(view, wanted, now_ms)
     return max(0.0, wanted.limit_wait_max_ms - answer_ms)
 
 
-def limit_opens(
+def _limit_admits(
     view: replica_view.ReplicaView, wanted: Wanted, now_ms: clock.Millis
 ) -> bool:
-    """Returns whether the limit of a replica may let the request through."""
+    """Returns whether a replica's rate limit may admit the request in time."""
     if view.limit is None:
         return True
     wait_max_ms = limit_wait_max_ms(view, wanted, now_ms)
@@ -283,11 +310,14 @@
     wanted: Wanted,
     now_ms: clock.Millis,
 ) -> float | None:
-    """Returns when the first replica takes the request, by their own words.
+    """Returns the time until the first replica accepts the request.
+
+    Only rate limits, pauses and drains that replicas announced are considered.
 
     Returns:
-      Infinite if all of them leave; None if something else than limits, pauses
-      and leaving keeps the request from a replica, which may change soon.
+      The time in ms, infinite if all replicas drain. None if no replica is
+      known to be closed, or if one is closed for another reason, which may end
+      soon.
     """
     waits_ms = []
     for view in views:
@@ -312,30 +342,31 @@
     now_ms: clock.Millis,
     rng: random.Random | None = None,
 ) -> list[Choice]:
-    """Returns the replicas that may get the request, the best first.
+    """Returns the replicas that may receive the request, the best first.
 
-    Breakers are ignored when they exclude most replicas: then something else
-    is wrong than the replicas.
+    Circuit breakers are ignored when they exclude most replicas, because the
+    fault is then unlikely to lie with the replicas.
 
     Args:
       views: replicas of the service.
-      wanted: what the request needs.
-      places: where the replicas are that the entry prefers.
+      wanted: what the request requires.
+      places: the locations that the entry prefers.
       now_ms: the time.
-      rng: spreads requests over plain replicas that are as good as each other.
+      rng: spreads requests over plain replicas of nearly equal cost; None to
+        rank by cost alone.
     """
     able = [view for view in views if usable(view, wanted, now_ms)]
     able = able or _last_resort(views, wanted, now_ms)
-    # Before breakers are ignored: no panic opens a limit.
-    able = [view for view in able if limit_opens(view, wanted, now_ms)]
+    # Rate limits apply even when breakers are ignored below.
+    able = [view for view in able if _limit_admits(view, wanted, now_ms)]
     allowed = [view for view in able if view.breaker.allows(now_ms)]
     if routing.panics(len(allowed), len(able)):
         allowed = able
     fresh = [v for v in allowed if v.replica.replica_id not in wanted.failed]
-    # The last ones of a service serve until their drain time is over.
+    # Draining replicas serve until their drain time ends if no other is left.
     fresh = [v for v in fresh if not v.availability.is_leaving] or fresh
     least_ms = min((view.answer_ms for view in fresh), default=0.0)
-    choices = [_choice(view, wanted, now_ms, least_ms) for view in fresh]
+    choices = [_predict(view, wanted, now_ms, least_ms) for view in fresh]
     costs = [_cost_of(choice, wanted, places, now_ms) for choice in choices]
     costs.sort(key=lambda cost: (cost.total_ms, cost.replica_id))
     if rng is None or wanted.engine is not None:
@@ -343,30 +374,30 @@
     near: list[Choice] = []
     others: list[Choice] = []
     for cost in costs:
-        part = near if _is_near(cost, costs[0]) else others
+        part = near if _is_near_best(cost, costs[0]) else others
         part.append(cost.choice)
-    return _spread(near, rng) + others
+    return _shuffle(near, rng) + others
 
 
 class _Cost(NamedTuple):
-    """What a choice costs; the least total is the best.
+    """The cost of a choice; the choice with the least total is the best.
 
     Attributes:
       replica_id: the replica.
-      time_ms: the cost of what is predicted there.
-      place_ms: the cost of where it is.
+      time_ms: the cost of the predicted time.
+      location_ms: the cost of the replica's location.
       choice: the choice.
     """
 
     replica_id: str
     time_ms: float
-    place_ms: float
+    location_ms: float
     choice: Choice
 
     @property
     def total_ms(self) -> float:
-        """Both costs together."""
-        return self.time_ms + self.place_ms
+        """Sum of the costs of time and location."""
+        return self.time_ms + self.location_ms
 
 
 def _cost_of(
@@ -380,38 +411,38 @@
     )
 
 
-def _is_near(cost: _Cost, best: _Cost) -> bool:
-    """Returns whether a plain replica is as good as the best one.
+def _is_near_best(cost: _Cost, best: _Cost) -> bool:
+    """Returns whether the cost of a plain replica is near that of the best.
 
-    Among many idle replicas the least difference between smoothed times would
-    otherwise decide which of them gets all requests.
+    Without this tolerance the smallest difference between smoothed times would
+    send all requests to one of many idle replicas.
     """
     if cost is best:
         return True
     is_full = cost.choice.view.replica.slots < cost.choice.load + 1
-    if is_full or cost.place_ms > best.place_ms:
+    if is_full or cost.location_ms > best.location_ms:
         return False
-    return cost.time_ms <= best.time_ms * (1.0 + NEAR_SHARE)
+    return cost.time_ms <= best.time_ms * (1.0 + NEAR_BEST_SHARE)
 
 
-def _spread(near: list[Choice], rng: random.Random) -> list[Choice]:
-    """Returns replicas that are as good as each other in a drawn order.
+def _shuffle(near: list[Choice], rng: random.Random) -> list[Choice]:
+    """Returns replicas of nearly equal cost in a random order.
 
-    Of the first two the one that was left alone for longer goes first, so that
-    none is missed for long by chance.
+    Of the first two, the one that was idle for longer goes first, so that no
+    replica is passed over for long by chance.
     """
-    drawn = rng.sample(near, len(near))
-    first = sorted(drawn[:2], key=lambda c: c.view.availability.sent_ms)
-    return first + drawn[2:]
+    shuffled = rng.sample(near, len(near))
+    first = sorted(shuffled[:2], key=lambda c: c.view.availability.sent_ms)
+    return first + shuffled[2:]
 
 
-def _choice(
+def _predict(
     view: replica_view.ReplicaView,
     wanted: Wanted,
     now_ms: clock.Millis,
     least_ms: float,
 ) -> Choice:
-    """Returns what is predicted of a request at one replica."""
+    """Returns the prediction for a request at one replica."""
     unbiased_ms = predicted_ms(view, wanted, now_ms, least_ms)
     time_ms = unbiased_ms * _bias_of(view, wanted, now_ms)
     return Choice(
@@ -430,10 +461,11 @@
 def _bias_of(
     view: replica_view.ReplicaView, wanted: Wanted, now_ms: clock.Millis
 ) -> float:
-    """Returns by what the predicted time is wrong, as far as is known.
+    """Returns the factor that corrects a predicted time.
 
-    The time of a plain replica is its own measured one, which a factor of its
-    own would count twice.
+    For a plain replica the prediction uses its own measured time. A factor for
+    that replica would count the measurement twice, so only the factor that all
+    replicas share applies.
     """
     if wanted.engine is None:
         return view.shared_bias_of(wanted.place, now_ms)
@@ -443,15 +475,15 @@
 def _time_cost_ms(
     choice: Choice, wanted: Wanted, now_ms: clock.Millis
 ) -> float:
-    """Returns the cost of what is predicted of a request at a replica."""
+    """Returns the cost of the predicted time of a request at a replica."""
     view = choice.view
     cost_ms = choice.predicted_ms
     failed_share = view.failure_share(now_ms) + view.availability.refusal_share(
         now_ms
     )
     cost_ms *= 1.0 + FAILURE_WEIGHT * failed_share
-    over_ms = overrun_ms(choice.predicted_ms, view, wanted, now_ms)
+    over_ms = _overrun_ms(choice.predicted_ms, view, wanted, now_ms)
     cost_ms += OVERRUN_WEIGHT * over_ms
     if wanted.alone:
-        cost_ms += ALONE_COST_MS * choice.load
+        cost_ms += ISOLATION_COST_MS * choice.load
     return cost_ms
--- a/src/marlramp/core/wait_bias.py
+++ b/src/marlramp/core/wait_bias.py
@@ -1,9 +1,9 @@
-"""How far the waits for a first event exceed what is predicted.
+"""Estimates by what factor waits for a first event exceed their prediction.
 
-Load pattern: engines are full without an end, and many entries share them. A
-prediction counts those that are known to be ahead now: not those that will
-come and go in front, nor those that other entries sent and nobody has told of
-yet. How many there are is seen only in the waits themselves.
+Load pattern: engines are full all the time and shared by many entries. A
+prediction counts the requests that are known to be ahead now. It misses
+requests that will arrive later and go in front, and requests that other entries
+have sent but not reported yet. Their number shows only in the actual waits.
 """
 
 from __future__ import annotations
@@ -13,44 +13,56 @@
 from marlramp import clock
 
 RISE = 0.3
-"""Weight of a wait that is longer than expected: three of them show that
+"""Weight of a wait that is longer than expected. Three long waits show that the
 engines are full."""
 
 FALL = 0.1
-"""Weight of a shorter one. Slower than the rise, since who is let in too early
-comes late and delays all others: of 43 entries before 20 engines at 1.6 times
-what these serve 0.39 of the callers come in time, 0.37 with 0.2 both ways, and
-0.22 without a bias over all engines (replayed load, two seeds)."""
+"""Weight of a wait that is shorter than expected. It is lower than `RISE`
+because a request that is admitted too early is late and delays all others.
+With 43 entries and 20 engines at 1.6 times the engines' capacity, 0.39 of the
+callers are served in time; with 0.2 for both weights 0.37 are, and without a
+bias over all engines 0.22 (replayed load, two seeds)."""
 
 RATIO_MIN = 0.5
 RATIO_MAX = 2.6
-"""Bounds of one observation, so that one stall does not close an engine."""
+"""Bounds of one observed ratio, so that a single stall does not make engines
+look too slow to receive requests."""
 
 RELEASE_MS = 3_000.0
-"""Time in which a bias that no wait confirms falls to a third: with a large one
-nothing is sent, so that nothing would show that the load has gone."""
+"""Time constant of the decay of a bias that no wait confirms: it falls to about
+a third. With a large bias no request is sent, so no wait would show that the
+load has ended."""
 
 
 class WaitBias:
-    """Ratio of actual to predicted waits, nearly 1 when nothing was seen."""
+    """Smoothed ratio of actual to predicted waits.
+
+    The ratio is 1 before the first wait and decays to 1 without new waits.
+    """
 
     def __init__(self) -> None:
-        """Starts without a bias."""
+        """Starts with a ratio of 1."""
         self._excess = 0.0
-        self._noted_ms = float("-inf")
+        self._updated_ms = float("-inf")
 
     def factor(self, now_ms: clock.Millis) -> float:
-        """Returns by what a predicted wait is to be multiplied."""
-        age_ms = now_ms - self._noted_ms
+        """Returns the factor by which to multiply a predicted wait."""
+        age_ms = now_ms - self._updated_ms
         return 1.0 + self._excess * math.exp(-age_ms / RELEASE_MS)
 
     def note(
         self, taken_ms: float, predicted_ms: float, now_ms: clock.Millis
     ) -> None:
-        """Takes a wait that has ended, or has lasted so long without an end."""
+        """Records a wait that has ended or is still going on.
+
+        Args:
+          taken_ms: the wait so far.
+          predicted_ms: the predicted wait.
+          now_ms: the time.
+        """
         ratio = taken_ms / max(1.0, predicted_ms)
         ratio = min(RATIO_MAX, max(RATIO_MIN, ratio))
         before = self.factor(now_ms)
         weight = RISE if ratio > before else FALL
         self._excess = before + weight * (ratio - before) - 1.0
-        self._noted_ms = now_ms
+        self._updated_ms = now_ms
--- a/src/marlramp/core/weights_gate.py
+++ b/src/marlramp/core/weights_gate.py
@@ -1,8 +1,9 @@
-"""Which version of the weights a request may begin on.
+"""Decides on which versions of the weights a request may begin.
 
-A newly named version binds after some time; until then the one before it
-still serves. A request begins with its first token, which may come a while
-after it was sent, so the old version is left earlier than the bound says.
+A newly announced version becomes mandatory after a fixed time; until then the
+version before it still serves. A request begins with its first token, which may
+come some time after the request was sent. Requests to the old version therefore
+stop at a cutoff before the new version becomes mandatory.
 """
 
 from __future__ import annotations
@@ -15,29 +16,32 @@
 from marlramp.core import catalog
 
 QUEUE_MARGIN_MS = 350.0
-"""Wait at a replica that is taken into account of a request that goes in front
-there. The few that wait longer are taken away before the bound; with more, an
-old version that may still serve stands idle where the new one is late. Behind
-a long way it grows as the margin below does."""
+"""Wait at a replica that is allowed for a request at the front of its queue.
+The few requests that wait longer are withdrawn before the new version becomes
+mandatory. With a larger margin an old version that may still serve would stand
+idle where the new one is late. With a high path latency the margin grows as
+`LEAVE_MARGIN_MS` does."""
 
 LEAVE_MARGIN_MS = 60.0
-"""Least time between taking a waiting request away from a replica and the time
-from which it must not begin there: a short way to the replica, and one pass of
-its engine. It grows by what the way is longer than a short one."""
+"""Least time between the withdrawal of a waiting request from a replica and the
+time from which it must not begin there. It covers a low path latency
+(`path_latency.MARGIN_LATENCY_MS`) and one engine step, and grows by the path
+latency beyond that value."""
 
 FIRST_READ_GRACE_MS = 2_000.0
-"""A process that finds a version at its first read does not know when it was
-named; it serves the version before for no longer than this."""
+"""Time after its start for which a process still serves the previous version if
+it finds a newer one at its first read, since it does not know when that version
+was announced."""
 
 
 class Leave(msgspec.Struct, frozen=True):
-    """Until when requests are sent to versions older than one.
+    """The time from which versions older than one are sent no requests.
 
     Attributes:
-      version: the version.
-      leaves_ms: a reading of the clock, from which a replica behind a short way
-        that holds an older one is sent none; one behind a long way is left
-        sooner.
+      version: the newer version.
+      cutoff_ms: clock reading of the cutoff for replicas with a low path
+        latency that hold an older version. It is earlier for replicas with a
+        high path latency.
     """
 
     version: int
@@ -47,14 +51,15 @@
 def leaves(
     target: catalog.KnownTarget, bound_ms: float, now_ms: clock.Millis
 ) -> list[Leave]:
-    """Returns until when requests are sent to older versions.
+    """Returns the cutoffs that are still to come.
 
-    Only what is to come: `oldest_allowed` tells of the others, and of versions
-    of unknown age, whose end has nothing to do with the way to a replica.
+    `oldest_allowed` covers past cutoffs, and versions of unknown age, whose
+    cutoff doesn't depend on the path latency to a replica.
 
     Args:
-      target: the versions named.
-      bound_ms: time after its naming from which a version binds.
+      target: the announced versions.
+      bound_ms: time from the announcement of a version until it becomes
+        mandatory.
       now_ms: the time.
     """
     coming = []
@@ -69,11 +74,14 @@
 
 
 def leaves_ms(coming: Sequence[Leave], version: int) -> float:
-    """Returns until when requests are sent to a version over a short way.
+    """Returns the cutoff of a version with a low path latency.
 
     Args:
-      coming: until when older versions are sent requests.
+      coming: the cutoffs that are still to come.
       version: the version.
+
+    Returns:
+      A clock reading, infinite if no cutoff applies to the version.
     """
     ends_ms = (leave.leaves_ms for leave in coming if leave.version > version)
     return min(ends_ms, default=float("inf"))
@@ -89,20 +97,21 @@
     """Returns the oldest version that a request sent now may begin on.
 
     Args:
-      target: the versions named.
-      bound_ms: time after its naming from which a version binds.
+      target: the announced versions.
+      bound_ms: time from the announcement of a version until it becomes
+        mandatory.
       started_ms: when this process started.
       now_ms: the time.
-      wait_ms: how long it may wait at the replica before it begins.
+      wait_ms: how long the request may wait at the replica before it begins.
     """
     oldest = 1
     for named in target.named:
         counts_from_ms = named.counts_from_ms
         if counts_from_ms is None:
-            leave_ms = started_ms + FIRST_READ_GRACE_MS - wait_ms
+            cutoff_ms = started_ms + FIRST_READ_GRACE_MS - wait_ms
         else:
-            leave_ms = counts_from_ms + bound_ms - wait_ms
-        if now_ms >= leave_ms:
+            cutoff_ms = counts_from_ms + bound_ms - wait_ms
+        if now_ms >= cutoff_ms:
             oldest = max(oldest, named.version)
     return oldest
 
@@ -113,16 +122,16 @@
     version: int,
     started_ms: float = float("-inf"),
 ) -> float:
-    """Returns until when a request may begin on a version.
+    """Returns the time until which a request may begin on a version.
 
-    A request that still waits at a replica then is taken elsewhere, however
-    long it was expected to wait. Behind a long way it is taken sooner, see
-    `upstream_choice.Choice.taken_back_ms`.
+    A request that still waits at a replica at that time is withdrawn and sent
+    elsewhere, however long its expected wait was. With a high path latency it
+    is withdrawn earlier, see `upstream_choice.Choice.withdrawal_ms`.
 
-    See `binds_over_ms` for the arguments.
+    See `superseded_ms` for the arguments.
     """
-    binds_ms = binds_over_ms(target, bound_ms, version, started_ms)
-    return binds_ms - LEAVE_MARGIN_MS
+    mandatory_ms = superseded_ms(target, bound_ms, version, started_ms)
+    return mandatory_ms - LEAVE_MARGIN_MS
 
 
 def sent_until_ms(
@@ -131,27 +140,32 @@
     version: int,
     started_ms: float = float("-inf"),
 ) -> float:
-    """Returns until when a request may be written to a replica on a version.
+    """Returns the time until which a version may be sent a request.
 
-    See `binds_over_ms` for the arguments.
+    The time holds for replicas with a low path latency. See `superseded_ms` for
+    the arguments.
     """
-    binds_ms = binds_over_ms(target, bound_ms, version, started_ms)
-    return binds_ms - QUEUE_MARGIN_MS
+    mandatory_ms = superseded_ms(target, bound_ms, version, started_ms)
+    return mandatory_ms - QUEUE_MARGIN_MS
 
 
-def binds_over_ms(
+def superseded_ms(
     target: catalog.KnownTarget,
     bound_ms: float,
     version: int,
     started_ms: float = float("-inf"),
 ) -> float:
-    """Returns when a newer version binds, infinite if none was named.
+    """Returns the time from which a newer version is mandatory.
 
     Args:
-      target: the versions named.
-      bound_ms: time after its naming from which a version binds.
+      target: the announced versions.
+      bound_ms: time from the announcement of a version until it becomes
+        mandatory.
       version: the version.
       started_ms: when this process started.
+
+    Returns:
+      A clock reading, infinite if no newer version was announced.
     """
     ends_ms = float("inf")
     for named in target.named:
--- a/tests/core/test_direct_decisions.py
+++ b/tests/core/test_direct_decisions.py
@@ -44,7 +44,7 @@
     )
 
 
-def test_engine_without_weights_gets_nothing(
+def test_engine_without_weights_receives_no_requests(
     make_replica: MakeReplica,
     wanted: upstream_choice.Wanted,
     time: clock.ManualClock,
@@ -58,17 +58,17 @@
     assert ids_of(ranked) == ["i-1"]
 
 
-def test_engine_on_a_version_that_no_longer_counts_gets_nothing(
+def test_engine_on_an_outdated_version_receives_no_requests(
     make_replica: MakeReplica,
     wanted: upstream_choice.Wanted,
     time: clock.ManualClock,
 ) -> None:
-    bound = msgspec.structs.replace(wanted, oldest_weights=2)
+    newer = msgspec.structs.replace(wanted, oldest_weights=2)
     old = view_of(make_replica())
-    assert upstream_choice.rank([old], bound, ANYWHERE, time.now_ms()) == []
+    assert upstream_choice.rank([old], newer, ANYWHERE, time.now_ms()) == []
 
 
-def test_draining_replica_gets_nothing(
+def test_draining_replica_receives_no_requests(
     make_replica: MakeReplica, time: clock.ManualClock
 ) -> None:
     leaving = view_of(make_replica(state=fleet.ReplicaState.DRAINING))
@@ -99,7 +99,7 @@
     ]
 
 
-def test_failing_replica_ranks_behind_a_sound_one(
+def test_failing_replica_ranks_behind_a_healthy_one(
     make_replica: MakeReplica, time: clock.ManualClock
 ) -> None:
     failing = view_of(make_replica(replica_id="i-0"))
@@ -133,7 +133,7 @@
     assert later - sooner == pytest.approx(200.0)
 
 
-def test_shares_of_the_retry_budget_sum_to_no_more_than_it(
+def test_shares_of_the_retry_budget_do_not_exceed_it(
     time: clock.ManualClock,
 ) -> None:
     entries = 12
@@ -149,7 +149,9 @@
     assert spent <= 0.2 * requests + 104.0
 
 
-def test_retry_budget_slides(time: clock.ManualClock) -> None:
+def test_retry_budget_is_restored_after_its_window(
+    time: clock.ManualClock,
+) -> None:
     share = retry_share.RetryShare(0.2, 104.0, 10_000.0)
     while share.try_spend(8, time.now_ms()):
         pass
@@ -174,7 +176,7 @@
     assert splitter.events == 2
 
 
-def turns(spread_ms: float = 1_900.0) -> swap_times.Turns:
+def load_schedule(spread_ms: float = 1_900.0) -> swap_times.Turns:
     return swap_times.Turns(
         binds_ms=8_000.0, spread_ms=spread_ms, load_ms=300.0
     )
@@ -185,39 +187,42 @@
     return sorted(swap_times.share_of(n, names, "m@2") for n in names)
 
 
-def test_engines_load_one_after_the_other_before_the_bound() -> None:
-    begins = [turns().begins_ms(share, 5_000.0) for share in shares(12)]
+def test_engines_load_one_at_a_time_before_the_version_is_mandatory() -> None:
+    begins = [load_schedule().begins_ms(share, 5_000.0) for share in shares(12)]
     assert begins[-1] == 8_000.0 - swap_times.LATEST_MARGIN_MS
     assert begins[0] == begins[-1] - 1_900.0
     gaps = [later - sooner for sooner, later in itertools.pairwise(begins)]
     assert max(gaps) - min(gaps) < 1.0
 
 
-def test_engine_whose_pieces_come_after_its_turn_loads_at_once() -> None:
-    assert turns().begins_ms(0.0, 7_000.0) == 7_000.0
+def test_engine_whose_pieces_arrive_after_its_slot_loads_at_once() -> None:
+    assert load_schedule().begins_ms(0.0, 7_000.0) == 7_000.0
+
 
+def test_pieces_too_late_for_slots_leave_half_of_the_engines_serving() -> None:
+    """All pieces arrive 0.3 s before the version is mandatory.
 
-def test_pieces_too_late_for_turns_leave_half_of_the_engines_serving() -> None:
-    """The origin was away and all pieces came 0.3 s before the bound."""
-    begins = [turns().begins_ms(share, 7_700.0) for share in shares(12)]
+    The origin was unavailable until then.
+    """
+    begins = [load_schedule().begins_ms(share, 7_700.0) for share in shares(12)]
     assert begins.count(7_700.0) == 6
-    # The old version serves until it may not any more.
+    # The other half serves the old version until the new one is mandatory.
     assert begins.count(8_000.0) == 6
-    assert turns().drain_ms(7_700.0) == 0.0
+    assert load_schedule().drain_ms(7_700.0) == 0.0
 
 
-def test_second_half_follows_as_soon_as_the_first_is_back() -> None:
-    begins = [turns().begins_ms(share, 7_400.0) for share in shares(12)]
+def test_second_half_loads_as_soon_as_the_first_half_serves_again() -> None:
+    begins = [load_schedule().begins_ms(share, 7_400.0) for share in shares(12)]
     assert begins.count(7_400.0 + 300.0 + swap_times.LATE_GAP_MS) == 6
 
 
-def test_pieces_that_come_after_the_bound_are_loaded_without_turns() -> None:
-    begins = {turns().begins_ms(share, 8_100.0) for share in shares(12)}
+def test_pieces_that_arrive_after_the_bound_are_loaded_at_once() -> None:
+    begins = {load_schedule().begins_ms(share, 8_100.0) for share in shares(12)}
     assert begins == {8_100.0}
 
 
 @pytest.mark.parametrize("bound_ms", [8_000.0, 10_300.0, 60_000.0])
-def test_engines_use_the_time_that_is_left_once_the_pieces_are_there(
+def test_engines_use_the_remaining_time_after_the_pieces_arrive(
     bound_ms: float,
 ) -> None:
     spread_ms = swap_times.spread_ms(2_097_152, 475_000.0, bound_ms)
@@ -235,25 +240,25 @@
         (60_000.0, 1.5e3, 1.5e3),
     ],
 )
-def test_engines_finish_what_runs_as_long_as_few_are_away(
+def test_engines_finish_running_requests_while_few_engines_load(
     spread_ms: float, least_ms: float, most_ms: float
 ) -> None:
-    drain_ms = turns(spread_ms).drain_ms(5_000.0)
+    drain_ms = load_schedule(spread_ms).drain_ms(5_000.0)
     assert least_ms <= drain_ms <= most_ms
 
 
-def test_bound_that_is_too_short_leaves_turns_all_the_same() -> None:
+def test_bound_that_is_too_short_still_spreads_the_loads() -> None:
     spread_ms = swap_times.spread_ms(2_097_152, 475_000.0, 5_000.0)
     assert spread_ms == swap_times.SPREAD_MIN_MS
 
 
 def test_version_of_unknown_age_is_loaded_at_once() -> None:
     begins_ms = swap_times.begins_ms(None, 1.0, 7_000.0)
-    # Also when the clock was read before this was asked.
+    # The result precedes any earlier reading of the clock.
     assert begins_ms == float("-inf")
 
 
-def test_turns_are_in_another_order_for_each_version() -> None:
+def test_engines_load_in_a_different_order_for_each_version() -> None:
     names = [f"vm-{n}" for n in range(12)]
     first = [swap_times.share_of(n, names, "m@2") for n in names]
     second = [swap_times.share_of(n, names, "m@3") for n in names]
@@ -261,7 +266,7 @@
     assert first != second
 
 
-def test_replica_that_takes_no_connection_is_spared_at_once(
+def test_replica_that_refuses_a_connection_is_excluded_at_once(
     make_replica: MakeReplica, time: clock.ManualClock
 ) -> None:
     views = [view_of(make_replica(replica_id=f"i-{n}")) for n in range(3)]
--- a/tests/core/test_leaving_versions.py
+++ b/tests/core/test_leaving_versions.py
@@ -1,4 +1,8 @@
-"""Until when requests go to an old version, and stay there, by the way."""
+"""Tests of the cutoffs of an old version by path latency.
+
+They cover the time until which requests are sent to a replica on an old
+version, and the time at which waiting requests are withdrawn from it.
+"""
 
 from __future__ import annotations
 
@@ -29,9 +33,9 @@
 def known(
     make_replica: MakeReplica, time: clock.ManualClock
 ) -> catalog.Catalog:
-    """Two engines of one data centre and one of another, on version 1.
+    """Two engines in one data centre and one in another, on version 1.
 
-    Version 2 is named now.
+    Version 2 is announced now.
     """
     found = catalog.Catalog()
     centres = {"i-1": "dc-1", "i-2": "dc-1", "i-3": "dc-2"}
@@ -57,7 +61,7 @@
 def table(
     known: catalog.Catalog, time: clock.ManualClock
 ) -> replica_table.ReplicaTable:
-    """The same engines."""
+    """A table with the engines of `known`."""
     found = replica_table.ReplicaTable()
     found.sync(known, time.now_ms())
     return found
@@ -105,7 +109,7 @@
 
 
 @pytest.mark.parametrize("way_ms", [0.0, 3.0, 9.0, 9.5, 63.0, 150.0, 400.0])
-def test_replica_is_chosen_as_long_as_requests_are_written_there(
+def test_replica_is_selected_while_requests_may_be_written_to_it(
     known: catalog.Catalog,
     table: replica_table.ReplicaTable,
     engine: fleet.EngineSpec,
@@ -114,10 +118,10 @@
 ) -> None:
     view = view_of(table, "i-1")
     choice = chosen(known, view, engine, time.now_ms())
-    named_ms = time.now_ms()
-    until_ms = named_ms
+    announced_ms = time.now_ms()
+    until_ms = announced_ms
     time.advance(BOUND_MS - 1_000.0)
-    while time.now_ms() < named_ms + BOUND_MS:
+    while time.now_ms() < announced_ms + BOUND_MS:
         now_ms = time.now_ms()
         view.note_way(way_ms, now_ms)
         written = choice.may_be_written(now_ms)
@@ -126,21 +130,21 @@
         assert upstream_choice.still_usable(view, request, now_ms) == written
         if written:
             until_ms = now_ms
-            # It has as long to begin there as behind a short way.
-            stays_ms = choice.taken_back_ms(now_ms) - now_ms
-            assert stays_ms > (
+            # The request has as much time to begin as with a low latency.
+            wait_ms = choice.taken_back_ms(now_ms) - now_ms
+            assert wait_ms > (
                 weights_gate.QUEUE_MARGIN_MS - weights_gate.LEAVE_MARGIN_MS
             )
         time.advance(1.0)
     margin_ms = weights_gate.QUEUE_MARGIN_MS + max(
         0.0, way_ms - way_times.SHORT_WAY_MS
     )
-    left_ms = named_ms + BOUND_MS - until_ms
+    left_ms = announced_ms + BOUND_MS - until_ms
     assert margin_ms < left_ms <= margin_ms + 1.0
 
 
 @pytest.mark.parametrize("way_ms", [0.0, 3.0, way_times.SHORT_WAY_MS])
-def test_behind_short_ways_the_margins_are_the_least_ones(
+def test_low_path_latency_leaves_the_margins_at_their_least(
     known: catalog.Catalog,
     table: replica_table.ReplicaTable,
     engine: fleet.EngineSpec,
@@ -156,25 +160,25 @@
     )
 
 
-def test_request_is_taken_back_by_the_longest_way_of_the_data_centre(
+def test_withdrawal_time_uses_the_highest_latency_of_the_data_centre(
     known: catalog.Catalog,
     table: replica_table.ReplicaTable,
     engine: fleet.EngineSpec,
     time: clock.ManualClock,
 ) -> None:
     view_of(table, "i-1").note_way(150.0, time.now_ms())
-    binds_ms = time.now_ms() + BOUND_MS
+    mandatory_ms = time.now_ms() + BOUND_MS
     for replica_id, least_ms in (("i-1", 150.0), ("i-2", 150.0), ("i-3", 0.0)):
         view = view_of(table, replica_id)
         choice = chosen(known, view, engine, time.now_ms())
-        margin_ms = binds_ms - choice.taken_back_ms(time.now_ms())
+        margin_ms = mandatory_ms - choice.taken_back_ms(time.now_ms())
         assert margin_ms > least_ms + 50.0
         assert (margin_ms == weights_gate.LEAVE_MARGIN_MS) == (
             replica_id == "i-3"
         )
 
 
-def test_old_version_behind_a_long_way_is_left_while_others_still_serve(
+def test_old_version_with_a_high_path_latency_is_cut_off_before_others(
     known: catalog.Catalog,
     table: replica_table.ReplicaTable,
     engine: fleet.EngineSpec,
--- a/tests/core/test_peer_loads.py
+++ b/tests/core/test_peer_loads.py
@@ -15,7 +15,7 @@
 MakeReplica: TypeAlias = Callable[..., fleet.Replica]
 
 PEERS = 15
-"""Other entries of a full cell."""
+"""Number of other entries in a full cell."""
 
 ANYWHERE = upstream_choice.Places(frozenset())
 
@@ -24,7 +24,7 @@
 def table(
     make_replica: MakeReplica, time: clock.ManualClock
 ) -> replica_table.ReplicaTable:
-    """Two engines, i-1 and i-2, alike."""
+    """A table with two identical engines, i-1 and i-2."""
     known = catalog.Catalog()
     changes = [
         catalog.ReplicaChange(
@@ -82,7 +82,7 @@
     assert (view.others_in_flight, view.others_unread) == (2, 700)
 
 
-def test_load_follows_what_came_and_went_since_the_last_word(
+def test_load_includes_changes_since_the_last_report(
     table: replica_table.ReplicaTable, time: clock.ManualClock
 ) -> None:
     view = table.get("i-1")
@@ -96,66 +96,66 @@
     assert view.load(time.now_ms()) == 4.0
 
 
-def test_only_changes_are_told(
+def test_only_changes_are_reported(
     table: replica_table.ReplicaTable, time: clock.ManualClock
 ) -> None:
-    news = peer_loads.LoadNews(table)
-    assert news.changed(PEERS, time.now_ms()) == []
+    updates = peer_loads.LoadNews(table)
+    assert updates.changed(PEERS, time.now_ms()) == []
     view = table.get("i-1")
     assert view is not None
     view.note_sent(900, time.now_ms())
     sent = peer_loads.OwnLoad("i-1", 1, 900)
-    assert news.changed(PEERS, time.now_ms()) == [sent]
+    assert updates.changed(PEERS, time.now_ms()) == [sent]
     time.advance(peer_loads.falls_pause_ms(PEERS))
-    assert news.changed(PEERS, time.now_ms()) == []
+    assert updates.changed(PEERS, time.now_ms()) == []
     view.note_read(900)
     read = peer_loads.OwnLoad("i-1", 1, 0)
-    assert news.changed(PEERS, time.now_ms()) == [read]
+    assert updates.changed(PEERS, time.now_ms()) == [read]
 
 
-def test_rise_is_told_at_once_with_what_fell_meanwhile(
+def test_increase_is_reported_at_once_with_pending_decreases(
     table: replica_table.ReplicaTable, time: clock.ManualClock
 ) -> None:
     first, second = table.get("i-1"), table.get("i-2")
     assert first is not None
     assert second is not None
-    news = peer_loads.LoadNews(table)
+    updates = peer_loads.LoadNews(table)
     first.note_sent(900, time.now_ms())
-    news.changed(PEERS, time.now_ms())
+    updates.changed(PEERS, time.now_ms())
     first.note_read(900)
-    assert news.changed(PEERS, time.now_ms()) == []
+    assert updates.changed(PEERS, time.now_ms()) == []
     second.note_sent(700, time.now_ms())
-    assert news.changed(PEERS, time.now_ms()) == [
+    assert updates.changed(PEERS, time.now_ms()) == [
         peer_loads.OwnLoad("i-1", 1, 0),
         peer_loads.OwnLoad("i-2", 1, 700),
     ]
 
 
-def test_fall_is_told_within_its_pause(
+def test_decrease_is_reported_after_the_pause(
     table: replica_table.ReplicaTable, time: clock.ManualClock
 ) -> None:
     view = table.get("i-1")
     assert view is not None
-    news = peer_loads.LoadNews(table)
+    updates = peer_loads.LoadNews(table)
     view.note_sent(900, time.now_ms())
-    news.changed(PEERS, time.now_ms())
+    updates.changed(PEERS, time.now_ms())
     view.note_read(900)
     view.note_ended()
-    assert news.waits
-    assert news.changed(PEERS, time.now_ms()) == []
+    assert updates.waits
+    assert updates.changed(PEERS, time.now_ms()) == []
     time.advance(peer_loads.falls_pause_ms(PEERS))
     ended = peer_loads.OwnLoad("i-1", 0, 0)
-    assert news.changed(PEERS, time.now_ms()) == [ended]
-    assert not news.waits
+    assert updates.changed(PEERS, time.now_ms()) == [ended]
+    assert not updates.waits
 
 
-def test_peers_together_tell_of_falls_so_often_at_most() -> None:
+def test_rate_of_decrease_reports_from_all_peers_is_limited() -> None:
     for peers in (1, 5, 15):
         per_second = peers * 1_000.0 / peer_loads.falls_pause_ms(peers)
-        assert per_second <= peer_loads.FALLS_HEARD_PER_S_MAX
+        assert per_second <= peer_loads.DECREASES_PER_S_MAX
 
 
-def test_all_names_used_replicas_only_and_takes_the_place_of_what_was_told(
+def test_complete_report_lists_used_replicas_and_replaces_earlier_loads(
     table: replica_table.ReplicaTable, time: clock.ManualClock
 ) -> None:
     first, second = table.get("i-1"), table.get("i-2")
@@ -164,13 +164,13 @@
     loads = peer_loads.PeerLoads(table)
     loads.take("entry-2", [peer_loads.OwnLoad("i-1", 2, 700)])
     second.note_sent(900, time.now_ms())
-    told = peer_loads.LoadNews(table).all(time.now_ms())
-    assert told == [peer_loads.OwnLoad("i-2", 1, 900)]
-    loads.replace("entry-2", told)
+    reported = peer_loads.LoadNews(table).all(time.now_ms())
+    assert reported == [peer_loads.OwnLoad("i-2", 1, 900)]
+    loads.replace("entry-2", reported)
     assert (first.others_in_flight, second.others_in_flight) == (0, 1)
 
 
-def test_prompts_that_others_sent_lengthen_the_prediction(
+def test_unread_prompts_of_other_entries_lengthen_the_prediction(
     table: replica_table.ReplicaTable,
     engine: fleet.EngineSpec,
     time: clock.ManualClock,
--- a/tests/core/test_queueing.py
+++ b/tests/core/test_queueing.py
@@ -45,7 +45,9 @@
     assert pop_customers(queue)[:4] == ["flood", "small", "flood", "small"]
 
 
-def test_cost_counts_not_requests(queue: queueing.FairQueue) -> None:
+def test_fairness_counts_cost_and_not_requests(
+    queue: queueing.FairQueue,
+) -> None:
     for customer, cost in (("long", 9.0), ("long", 9.0), ("short", 3.0)):
         queue.push(waiting(customer, cost=cost))
     queue.push(waiting("short", cost=3.0))
--- a/tests/core/test_replica_restarts.py
+++ b/tests/core/test_replica_restarts.py
@@ -1,4 +1,4 @@
-"""A replica that starts again under the id that it had."""
+"""Tests of replicas that restart under an unchanged id."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 @pytest.fixture
 def table(known: catalog.Catalog) -> replica_table.ReplicaTable:
-    """A table in which that engine is well known."""
+    """A table that holds state about that engine: requests, failures."""
     found = replica_table.ReplicaTable()
     found.sync(known, 0.0)
     view = found.get("i-1")
@@ -64,7 +64,7 @@
     assert view.failure_share(20.0) == 0.0
 
 
-def test_its_new_entry_ends_all_that_was_believed_of_it(
+def test_new_record_of_a_restarted_replica_discards_its_state(
     known: catalog.Catalog,
     table: replica_table.ReplicaTable,
     make_replica: MakeReplica,
@@ -79,7 +79,7 @@
     assert_unknown(table)
 
 
-def test_report_of_its_new_start_goes_before_the_list(
+def test_report_of_a_new_start_overrides_the_list(
     known: catalog.Catalog, table: replica_table.ReplicaTable
 ) -> None:
     assert table.report(report(LATER_MS, 0), 20.0) == ["i-1"]
@@ -91,7 +91,7 @@
     assert view.weights(late_ms) == 0
 
 
-def test_late_word_of_its_earlier_start_changes_nothing(
+def test_late_report_of_an_earlier_start_is_ignored(
     known: catalog.Catalog,
     table: replica_table.ReplicaTable,
     make_replica: MakeReplica,
@@ -107,7 +107,7 @@
     assert_unknown(table)
 
 
-def test_platform_that_tells_no_start_is_believed_as_before(
+def test_platform_that_reports_no_start_time_keeps_the_state(
     known: catalog.Catalog, table: replica_table.ReplicaTable
 ) -> None:
     assert table.report(report(None, 1), 20.0) == []
@@ -115,17 +115,17 @@
     assert view is not None
     assert (view.in_flight, view.weights(20.0)) == (1, 1)
     (held,) = known.replicas()
-    untold = msgspec.structs.replace(held, born_ms=None)
-    known.apply([catalog.ReplicaChange(2, "i-1", untold)], 21.0)
+    without_start = msgspec.structs.replace(held, born_ms=None)
+    known.apply([catalog.ReplicaChange(2, "i-1", without_start)], 21.0)
     assert table.sync(known, 21.0) == []
 
 
-def away_and_back(
+def remove_and_add(
     table: replica_table.ReplicaTable,
     known: catalog.Catalog,
     replica: fleet.Replica,
 ) -> replica_view.ReplicaView:
-    """Has a replica leave the list and come back to it."""
+    """Removes a replica from the list and adds it again."""
     known.apply([catalog.ReplicaChange(5, "i-1", None)], 1_000.0)
     table.sync(known, 1_000.0)
     assert table.get("i-1") is None
@@ -136,7 +136,7 @@
     return view
 
 
-def test_list_that_was_short_for_a_moment_opens_no_replica_that_leaves(
+def test_leaving_replica_stays_closed_when_the_list_lacks_it_for_a_moment(
     table: replica_table.ReplicaTable,
     known: catalog.Catalog,
     make_replica: MakeReplica,
@@ -146,13 +146,13 @@
     view.availability.note_leaving(2_000.0, 500.0)
     view.availability.note_pause(60_000.0, 0.0, 500.0)
     replica = make_replica(weights=1, born_ms=EARLIER_MS)
-    back = away_and_back(table, known, replica)
+    back = remove_and_add(table, known, replica)
     assert back.availability.is_leaving
     assert back.availability.is_paused(10_000.0)
 
 
 @pytest.mark.parametrize("born_ms", [LATER_MS, None])
-def test_replica_that_starts_anew_has_not_said_that_it_leaves(
+def test_restarted_replica_is_not_leaving(
     table: replica_table.ReplicaTable,
     known: catalog.Catalog,
     make_replica: MakeReplica,
@@ -162,11 +162,11 @@
     assert view is not None
     view.availability.note_leaving(2_000.0, 500.0)
     replica = make_replica(weights=1, born_ms=born_ms)
-    back = away_and_back(table, known, replica)
+    back = remove_and_add(table, known, replica)
     assert not back.availability.is_leaving
 
 
-def test_answer_of_an_earlier_start_closes_no_later_one(
+def test_answer_of_an_earlier_start_does_not_close_a_later_one(
     table: replica_table.ReplicaTable,
 ) -> None:
     earlier = table.get("i-1")
