--- a/src/marlramp/core/replica_table.py
+++ b/src/marlramp/core/replica_table.py
@@ -17,9 +17,9 @@
 from marlramp.core import breaker
 from marlramp.core import catalog
 from marlramp.core import fleet
+from marlramp.core import path_latency
 from marlramp.core import replica_view
 from marlramp.core import wait_bias
-from marlramp.core import way_times
 
 REMOVED_MAX = 4_096
 """Number of replicas that are remembered after they left the list; the oldest
@@ -50,7 +50,9 @@
         self._reports: dict[str, tuple[replica_view.LoadReport, float]] = {}
         self._behind_bias: dict[ids.ServiceId, wait_bias.WaitBias] = {}
         self._front_bias: dict[ids.ServiceId, wait_bias.WaitBias] = {}
-        self._centre_latency: dict[ids.DataCentreId, way_times.WayTimes] = {}
+        self._centre_latency: dict[
+            ids.DataCentreId, path_latency.PathLatency
+        ] = {}
         self._removed: dict[str, _RemovedReplica] = {}
         self._listeners: list[Callable[[str], None]] = []
 
@@ -155,7 +157,7 @@
             on_load_change=self._notify_load_change,
             born_ms=replica.born_ms,
             centre_ways=self._centre_latency.setdefault(
-                replica.data_centre, way_times.WayTimes()
+                replica.data_centre, path_latency.PathLatency()
             ),
         )
         self._views[replica.replica_id] = view
--- a/src/marlramp/core/replica_view.py
+++ b/src/marlramp/core/replica_view.py
@@ -17,10 +17,10 @@
 from marlramp.core import availability
 from marlramp.core import breaker
 from marlramp.core import fleet
+from marlramp.core import path_latency
 from marlramp.core import queue_place
 from marlramp.core import send_limit
 from marlramp.core import wait_bias
-from marlramp.core import way_times
 
 REPORT_FRESH_MS = 1_500.0
 """Age up to which an agent's report is valid. Agents report at least every
@@ -209,9 +209,11 @@
     heard_ms: float = float("-inf")
     born_ms: int | None = None
     limit: send_limit.SendLimit | None = None
-    ways: way_times.WayTimes = msgspec.field(default_factory=way_times.WayTimes)
-    centre_ways: way_times.WayTimes = msgspec.field(
-        default_factory=way_times.WayTimes
+    ways: path_latency.PathLatency = msgspec.field(
+        default_factory=path_latency.PathLatency
+    )
+    centre_ways: path_latency.PathLatency = msgspec.field(
+        default_factory=path_latency.PathLatency
     )
 
     def weights(self, now_ms: clock.Millis) -> int:
@@ -370,24 +372,24 @@
 
     def note_way(self, way_ms: float, now_ms: clock.Millis) -> None:
         """Records the time that opening a connection to the replica took."""
-        self.ways.note(way_ms, now_ms)
-        self.centre_ways.note(way_ms, now_ms)
+        self.ways.record(way_ms, now_ms)
+        self.centre_ways.record(way_ms, now_ms)
 
     def note_way_at_least(self, way_ms: float, now_ms: clock.Millis) -> None:
         """Records the time spent so far on opening an unfinished connection."""
-        self.ways.note_at_least(way_ms, now_ms)
-        self.centre_ways.note_at_least(way_ms, now_ms)
+        self.ways.record_at_least(way_ms, now_ms)
+        self.centre_ways.record_at_least(way_ms, now_ms)
 
     def way_ms(self, now_ms: clock.Millis) -> float:
         """Returns the path latency to the replica to allow for, 0 if unknown.
 
         Data that is sent now is expected to arrive within this time.
         """
-        return way_times.way_ms(self.ways, self.centre_ways, now_ms)
+        return path_latency.expected_ms(self.ways, self.centre_ways, now_ms)
 
     def way_beyond_short_ms(self, now_ms: clock.Millis) -> float:
         """Returns by how much the path latency exceeds the fixed margins."""
-        return way_times.beyond_short_ms(self.way_ms(now_ms))
+        return path_latency.beyond_margin_ms(self.way_ms(now_ms))
 
     def note_run(self, taken_ms: float, events: int) -> None:
         """Records the time from a stream's first event to its end."""
--- a/src/marlramp/core/upstream_choice.py
+++ b/src/marlramp/core/upstream_choice.py
@@ -16,10 +16,10 @@
 from marlramp import clock
 from marlramp.core import engine_load
 from marlramp.core import fleet
+from marlramp.core import path_latency
 from marlramp.core import queue_place
 from marlramp.core import replica_view
 from marlramp.core import routing
-from marlramp.core import way_times
 from marlramp.core import weights_gate
 
 FAILURE_WEIGHT = 4.0
@@ -158,9 +158,9 @@
         A link may have become congested since the last measurement. A request
         that travels for longer than the margins allow for begins too late.
         """
-        if now_ms < self.sent_until_ms - way_times.MEASURED_BEFORE_MS:
+        if now_ms < self.sent_until_ms - path_latency.FRESH_BEFORE_CUTOFF_MS:
             return False
-        return self.view.ways.age_ms(now_ms) > way_times.OWN_FRESH_MS
+        return self.view.ways.age_ms(now_ms) > path_latency.OWN_FRESH_MS
 
     def may_be_written(self, now_ms: clock.Millis) -> bool:
         """Returns whether the request may still be sent to this version."""
--- a/tests/core/test_leaving_versions.py
+++ b/tests/core/test_leaving_versions.py
@@ -17,10 +17,10 @@
 from marlramp.core import catalog
 from marlramp.core import event_time
 from marlramp.core import fleet
+from marlramp.core import path_latency
 from marlramp.core import replica_table
 from marlramp.core import replica_view
 from marlramp.core import upstream_choice
-from marlramp.core import way_times
 from marlramp.core import weights_gate
 
 MakeReplica: TypeAlias = Callable[..., fleet.Replica]
@@ -137,13 +137,13 @@
             )
         time.advance(1.0)
     margin_ms = weights_gate.QUEUE_MARGIN_MS + max(
-        0.0, way_ms - way_times.SHORT_WAY_MS
+        0.0, way_ms - path_latency.MARGIN_LATENCY_MS
     )
     left_ms = announced_ms + BOUND_MS - until_ms
     assert margin_ms < left_ms <= margin_ms + 1.0
 
 
-@pytest.mark.parametrize("way_ms", [0.0, 3.0, way_times.SHORT_WAY_MS])
+@pytest.mark.parametrize("way_ms", [0.0, 3.0, path_latency.MARGIN_LATENCY_MS])
 def test_low_path_latency_leaves_the_margins_at_their_least(
     known: catalog.Catalog,
     table: replica_table.ReplicaTable,
--- a/tests/direct/calls/test_forwarder.py
+++ b/tests/direct/calls/test_forwarder.py
@@ -8,7 +8,7 @@
 from marlramp import errors
 from marlramp.core import catalog
 from marlramp.core import fleet
-from marlramp.core import way_times
+from marlramp.core import path_latency
 from marlramp.core import weights_gate
 from marlramp.direct.calls import forwarder
 from marlramp.shell import http1_client
@@ -744,7 +744,7 @@
         view.seen_weights = 1
         entry.serve_engines()
         assert status_of(await entry.call("/whole/x", "POST")) == 200
-        await asyncio.sleep(0.1 + way_times.OWN_FRESH_MS / 1000)
+        await asyncio.sleep(0.1 + path_latency.OWN_FRESH_MS / 1000)
         monkeypatch.setattr(http1_client, "connect", connect_late)
         binds_ms = entry.time.now_ms() + left_ms
         bound_ms = conftest.SETTINGS.bounds.version_ms
