--- a/src/marlramp/core/replica_view.py
+++ b/src/marlramp/core/replica_view.py
@@ -380,7 +380,7 @@
         self.ways.record_at_least(way_ms, now_ms)
         self.centre_ways.record_at_least(way_ms, now_ms)
 
-    def way_ms(self, now_ms: clock.Millis) -> float:
+    def path_latency_ms(self, now_ms: clock.Millis) -> float:
         """Returns the path latency to the replica to allow for, 0 if unknown.
 
         Data that is sent now is expected to arrive within this time.
@@ -389,7 +389,7 @@
 
     def way_beyond_short_ms(self, now_ms: clock.Millis) -> float:
         """Returns by how much the path latency exceeds the fixed margins."""
-        return path_latency.beyond_margin_ms(self.way_ms(now_ms))
+        return path_latency.beyond_margin_ms(self.path_latency_ms(now_ms))
 
     def note_run(self, taken_ms: float, events: int) -> None:
         """Records the time from a stream's first event to its end."""
--- a/src/marlramp/direct/calls/sender.py
+++ b/src/marlramp/direct/calls/sender.py
@@ -178,7 +178,7 @@
                 observer.left()
                 pool.give_back(connection)
                 return Sent(_unsent(), unsent=True)
-            way_ms = view.way_ms(now_ms)
+            way_ms = view.path_latency_ms(now_ms)
             tried = await self._exchange(call, choice, connection, observer)
             tried.way_ms = max(tried.way_ms, way_ms)
         except asyncio.CancelledError:
@@ -254,7 +254,7 @@
                 return Sent(
                     self._stalled(call, attempt),
                     stalled=True,
-                    way_ms=choice.view.way_ms(self._clock.now_ms()),
+                    way_ms=choice.view.path_latency_ms(self._clock.now_ms()),
                 )
             # One that has begun may yet end well and clear itself.
             if not attempt.begun and self._is_condemned(call.fingerprint):
