--- a/src/marlramp/core/replica_view.py
+++ b/src/marlramp/core/replica_view.py
@@ -209,7 +209,7 @@
     heard_ms: float = float("-inf")
     born_ms: int | None = None
     limit: send_limit.SendLimit | None = None
-    ways: path_latency.PathLatency = msgspec.field(
+    latency: path_latency.PathLatency = msgspec.field(
         default_factory=path_latency.PathLatency
     )
     centre_ways: path_latency.PathLatency = msgspec.field(
@@ -372,12 +372,12 @@
 
     def note_way(self, way_ms: float, now_ms: clock.Millis) -> None:
         """Records the time that opening a connection to the replica took."""
-        self.ways.record(way_ms, now_ms)
+        self.latency.record(way_ms, now_ms)
         self.centre_ways.record(way_ms, now_ms)
 
     def note_way_at_least(self, way_ms: float, now_ms: clock.Millis) -> None:
         """Records the time spent so far on opening an unfinished connection."""
-        self.ways.record_at_least(way_ms, now_ms)
+        self.latency.record_at_least(way_ms, now_ms)
         self.centre_ways.record_at_least(way_ms, now_ms)
 
     def path_latency_ms(self, now_ms: clock.Millis) -> float:
@@ -385,7 +385,7 @@
 
         Data that is sent now is expected to arrive within this time.
         """
-        return path_latency.expected_ms(self.ways, self.centre_ways, now_ms)
+        return path_latency.expected_ms(self.latency, self.centre_ways, now_ms)
 
     def way_beyond_short_ms(self, now_ms: clock.Millis) -> float:
         """Returns by how much the path latency exceeds the fixed margins."""
--- a/src/marlramp/core/upstream_choice.py
+++ b/src/marlramp/core/upstream_choice.py
@@ -160,7 +160,7 @@
         """
         if now_ms < self.sent_until_ms - path_latency.FRESH_BEFORE_CUTOFF_MS:
             return False
-        return self.view.ways.age_ms(now_ms) > path_latency.OWN_FRESH_MS
+        return self.view.latency.age_ms(now_ms) > path_latency.OWN_FRESH_MS
 
     def may_be_written(self, now_ms: clock.Millis) -> bool:
         """Returns whether the request may still be sent to this version."""
--- a/src/marlramp/direct/calls/way_probes.py
+++ b/src/marlramp/direct/calls/way_probes.py
@@ -47,7 +47,7 @@
         probe = self._probes.get(replica_id)
         if probe is not None:
             view.note_way_at_least(now_ms - probe.asked_ms, now_ms)
-        elif view.ways.age_ms(now_ms) > PROBE_MS:
+        elif view.latency.age_ms(now_ms) > PROBE_MS:
             task = asyncio.create_task(self._open(view, pool, now_ms))
             self._probes[replica_id] = _Probe(now_ms, task)
 
