--- a/src/marlramp/core/replica_table.py
+++ b/src/marlramp/core/replica_table.py
@@ -156,7 +156,7 @@
             ),
             on_load_change=self._notify_load_change,
             born_ms=replica.born_ms,
-            centre_ways=self._centre_latency.setdefault(
+            centre_latency=self._centre_latency.setdefault(
                 replica.data_centre, path_latency.PathLatency()
             ),
         )
--- a/src/marlramp/core/replica_view.py
+++ b/src/marlramp/core/replica_view.py
@@ -212,7 +212,7 @@
     latency: path_latency.PathLatency = msgspec.field(
         default_factory=path_latency.PathLatency
     )
-    centre_ways: path_latency.PathLatency = msgspec.field(
+    centre_latency: path_latency.PathLatency = msgspec.field(
         default_factory=path_latency.PathLatency
     )
 
@@ -373,19 +373,21 @@
     def note_way(self, way_ms: float, now_ms: clock.Millis) -> None:
         """Records the time that opening a connection to the replica took."""
         self.latency.record(way_ms, now_ms)
-        self.centre_ways.record(way_ms, now_ms)
+        self.centre_latency.record(way_ms, now_ms)
 
     def note_way_at_least(self, way_ms: float, now_ms: clock.Millis) -> None:
         """Records the time spent so far on opening an unfinished connection."""
         self.latency.record_at_least(way_ms, now_ms)
-        self.centre_ways.record_at_least(way_ms, now_ms)
+        self.centre_latency.record_at_least(way_ms, now_ms)
 
     def path_latency_ms(self, now_ms: clock.Millis) -> float:
         """Returns the path latency to the replica to allow for, 0 if unknown.
 
         Data that is sent now is expected to arrive within this time.
         """
-        return path_latency.expected_ms(self.latency, self.centre_ways, now_ms)
+        return path_latency.expected_ms(
+            self.latency, self.centre_latency, now_ms
+        )
 
     def way_beyond_short_ms(self, now_ms: clock.Millis) -> float:
         """Returns by how much the path latency exceeds the fixed margins."""
