--- a/src/marlramp/core/replica_view.py
+++ b/src/marlramp/core/replica_view.py
@@ -389,7 +389,7 @@
             self.latency, self.centre_latency, now_ms
         )
 
-    def way_beyond_short_ms(self, now_ms: clock.Millis) -> float:
+    def latency_beyond_margin_ms(self, now_ms: clock.Millis) -> float:
         """Returns by how much the path latency exceeds the fixed margins."""
         return path_latency.beyond_margin_ms(self.path_latency_ms(now_ms))
 
--- a/src/marlramp/core/upstream_choice.py
+++ b/src/marlramp/core/upstream_choice.py
@@ -150,7 +150,7 @@
         The result is a clock reading. It depends on the path latency that is
         known at `now_ms`.
         """
-        return self.begins_until_ms - self.view.way_beyond_short_ms(now_ms)
+        return self.begins_until_ms - self.view.latency_beyond_margin_ms(now_ms)
 
     def needs_way(self, now_ms: clock.Millis) -> bool:
         """Returns whether the path latency must be measured before writing.
@@ -164,7 +164,7 @@
 
     def may_be_written(self, now_ms: clock.Millis) -> bool:
         """Returns whether the request may still be sent to this version."""
-        beyond_ms = self.view.way_beyond_short_ms(now_ms)
+        beyond_ms = self.view.latency_beyond_margin_ms(now_ms)
         return now_ms < self.sent_until_ms - beyond_ms
 
 
@@ -205,7 +205,7 @@
             return False
         if wanted.leaves:
             leaves_ms = weights_gate.leaves_ms(wanted.leaves, weights)
-            return now_ms < leaves_ms - view.way_beyond_short_ms(now_ms)
+            return now_ms < leaves_ms - view.latency_beyond_margin_ms(now_ms)
     return True
 
 
