--- a/src/marlramp/core/replica_view.py
+++ b/src/marlramp/core/replica_view.py
@@ -370,7 +370,7 @@
         confidence = recent / (recent + ANSWERS_HALF_CONFIDENCE)
         return least_ms + confidence * max(0.0, self.answer_ms - least_ms)
 
-    def note_way(self, way_ms: float, now_ms: clock.Millis) -> None:
+    def record_latency(self, way_ms: float, now_ms: clock.Millis) -> None:
         """Records the time that opening a connection to the replica took."""
         self.latency.record(way_ms, now_ms)
         self.centre_latency.record(way_ms, now_ms)
--- a/src/marlramp/direct/calls/sender.py
+++ b/src/marlramp/direct/calls/sender.py
@@ -223,7 +223,7 @@
             )
             return None
         now_ms = self._clock.now_ms()
-        view.note_way(now_ms - asked_ms, now_ms)
+        view.record_latency(now_ms - asked_ms, now_ms)
         return connection
 
     async def _exchange(
--- a/src/marlramp/direct/calls/way_probes.py
+++ b/src/marlramp/direct/calls/way_probes.py
@@ -64,5 +64,5 @@
         finally:
             del self._probes[view.replica.replica_id]
         now_ms = self._clock.now_ms()
-        view.note_way(now_ms - asked_ms, now_ms)
+        view.record_latency(now_ms - asked_ms, now_ms)
         pool.give_back(connection)
--- a/tests/core/test_leaving_versions.py
+++ b/tests/core/test_leaving_versions.py
@@ -123,7 +123,7 @@
     time.advance(BOUND_MS - 1_000.0)
     while time.now_ms() < announced_ms + BOUND_MS:
         now_ms = time.now_ms()
-        view.note_way(way_ms, now_ms)
+        view.record_latency(way_ms, now_ms)
         written = choice.may_be_written(now_ms)
         request = wanted(known, engine, now_ms)
         assert upstream_choice.usable(view, request, now_ms) == written
@@ -152,7 +152,7 @@
     way_ms: float,
 ) -> None:
     view = view_of(table, "i-1")
-    view.note_way(way_ms, time.now_ms())
+    view.record_latency(way_ms, time.now_ms())
     choice = chosen(known, view, engine, time.now_ms())
     taken_back_ms = choice.taken_back_ms(time.now_ms())
     assert taken_back_ms == (
@@ -166,7 +166,7 @@
     engine: fleet.EngineSpec,
     time: clock.ManualClock,
 ) -> None:
-    view_of(table, "i-1").note_way(150.0, time.now_ms())
+    view_of(table, "i-1").record_latency(150.0, time.now_ms())
     mandatory_ms = time.now_ms() + BOUND_MS
     for replica_id, least_ms in (("i-1", 150.0), ("i-2", 150.0), ("i-3", 0.0)):
         view = view_of(table, replica_id)
@@ -186,7 +186,7 @@
 ) -> None:
     time.advance(BOUND_MS - weights_gate.QUEUE_MARGIN_MS - 100.0)
     now_ms = time.now_ms()
-    view_of(table, "i-1").note_way(150.0, now_ms)
+    view_of(table, "i-1").record_latency(150.0, now_ms)
     request = wanted(known, engine, now_ms)
     ranked = upstream_choice.rank(list(table), request, ANYWHERE, now_ms)
     assert [c.view.replica.replica_id for c in ranked] == ["i-3"]
--- a/tests/direct/calls/test_forwarder.py
+++ b/tests/direct/calls/test_forwarder.py
@@ -672,7 +672,7 @@
         wait_ms = binds_ms - grows_at_ms - entry.time.now_ms()
         await asyncio.sleep(wait_ms / clock.MILLIS_PER_SECOND)
         assert closed_ms == []
-        view.note_way(way_ms, entry.time.now_ms())
+        view.record_latency(way_ms, entry.time.now_ms())
         assert status_of(await answer) == 502
         await asyncio.sleep(0.05)
         (closed,) = closed_ms
