--- a/src/marlramp/core/replica_view.py
+++ b/src/marlramp/core/replica_view.py
@@ -375,7 +375,9 @@
         self.latency.record(way_ms, now_ms)
         self.centre_latency.record(way_ms, now_ms)
 
-    def note_way_at_least(self, way_ms: float, now_ms: clock.Millis) -> None:
+    def record_latency_at_least(
+        self, way_ms: float, now_ms: clock.Millis
+    ) -> None:
         """Records the time spent so far on opening an unfinished connection."""
         self.latency.record_at_least(way_ms, now_ms)
         self.centre_latency.record_at_least(way_ms, now_ms)
--- a/src/marlramp/direct/calls/way_probes.py
+++ b/src/marlramp/direct/calls/way_probes.py
@@ -46,7 +46,7 @@
         replica_id = view.replica.replica_id
         probe = self._probes.get(replica_id)
         if probe is not None:
-            view.note_way_at_least(now_ms - probe.asked_ms, now_ms)
+            view.record_latency_at_least(now_ms - probe.asked_ms, now_ms)
         elif view.latency.age_ms(now_ms) > PROBE_MS:
             task = asyncio.create_task(self._open(view, pool, now_ms))
             self._probes[replica_id] = _Probe(now_ms, task)
