--- a/src/marlramp/core/replica_table.py
+++ b/src/marlramp/core/replica_table.py
@@ -213,4 +213,4 @@
         view.born_ms = report.born_ms or view.born_ms
         view.report = report
         view.reported_ms = now_ms
-        view.note_load(report.running, report.waiting, now_ms)
+        view.record_load(report.running, report.waiting, now_ms)
--- a/src/marlramp/core/replica_view.py
+++ b/src/marlramp/core/replica_view.py
@@ -297,7 +297,7 @@
             return front
         return front + self.behind_unread + self.others_behind_unread
 
-    def note_load(
+    def record_load(
         self, running: int, waiting: int, now_ms: clock.Millis
     ) -> None:
         """Records the current load that the replica or its agent reports."""
--- a/src/marlramp/direct/calls/replica_observer.py
+++ b/src/marlramp/direct/calls/replica_observer.py
@@ -48,7 +48,7 @@
         view = self._view
         view.heard_ms = now_ms
         if answer.load is not None:
-            view.note_load(answer.load.running, answer.load.waiting, now_ms)
+            view.record_load(answer.load.running, answer.load.waiting, now_ms)
         if answer.weights is not None:
             view.seen_weights = answer.weights
             view.seen_ms = now_ms
--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -93,7 +93,7 @@
         decision = admission.decide([view], herd, ANYWHERE, time.now_ms(), rng)
         if isinstance(decision, upstream_choice.Choice):
             view.note_sent(900, time.now_ms(), decision.place)
-    view.note_load(16, view.in_flight - 16, time.now_ms())
+    view.record_load(16, view.in_flight - 16, time.now_ms())
     fresh = admission.decide([view], request_, ANYWHERE, time.now_ms(), rng)
     assert place_of(fresh) is FRONT
     again = admission.decide([view], herd, ANYWHERE, time.now_ms(), rng)
@@ -107,7 +107,7 @@
     time: clock.ManualClock,
     rng: random.Random,
 ) -> None:
-    view.note_load(16, 64, time.now_ms())
+    view.record_load(16, 64, time.now_ms())
     refused = admission.decide([view], request_, ANYWHERE, time.now_ms(), rng)
     assert isinstance(refused, admission.Refusal)
     ran = msgspec.structs.replace(request_, maybe_ran=True)
@@ -146,7 +146,7 @@
     # those of their own what they have sent there. All that waits is late.
     for _ in range(8):
         view.note_sent(900, time.now_ms(), BEHIND)
-    view.note_load(16, 24, time.now_ms())
+    view.record_load(16, 24, time.now_ms())
     decision = admission.decide([view], request_, ANYWHERE, time.now_ms(), rng)
     assert place_of(decision) is FRONT
     for _ in range(8):
@@ -164,7 +164,7 @@
 ) -> None:
     # Load pattern: engines are full without an end, so that what waits behind
     # never gets its turn and its callers wait in vain.
-    view.note_load(16, 5, time.now_ms())
+    view.record_load(16, 5, time.now_ms())
     request = late(request_, 1_000.0)
     decision = admission.decide([view], request, ANYWHERE, time.now_ms(), rng)
     assert place_of(decision) is BEHIND
@@ -173,7 +173,7 @@
     decision = admission.decide([view], request, ANYWHERE, time.now_ms(), rng)
     assert isinstance(decision, admission.Refusal)
     time.advance(4 * wait_bias.RELEASE_MS)
-    view.note_load(16, 5, time.now_ms())
+    view.record_load(16, 5, time.now_ms())
     decision = admission.decide([view], request, ANYWHERE, time.now_ms(), rng)
     assert place_of(decision) is BEHIND
 
@@ -202,9 +202,9 @@
         assert isinstance(choice, upstream_choice.Choice)
         return choice.view.replica.replica_id
 
-    own.note_load(10, 0, time.now_ms())
+    own.record_load(10, 0, time.now_ms())
     assert chosen() == "i-0"
-    own.note_load(16, 30, time.now_ms())
+    own.record_load(16, 30, time.now_ms())
     assert chosen() == "i-1"
 
 
--- a/tests/core/test_direct_decisions.py
+++ b/tests/core/test_direct_decisions.py
@@ -51,7 +51,7 @@
 ) -> None:
     empty = view_of(make_replica(replica_id="i-0", weights=0))
     loaded = view_of(make_replica())
-    loaded.note_load(15, 4, time.now_ms())
+    loaded.record_load(15, 4, time.now_ms())
     ranked = upstream_choice.rank(
         [empty, loaded], wanted, ANYWHERE, time.now_ms()
     )
@@ -86,7 +86,7 @@
     closing.report = msgspec.structs.replace(REPORT, closes_in_ms=600.0)
     closing.reported_ms = time.now_ms()
     busy = view_of(make_replica())
-    busy.note_load(8, 0, time.now_ms())
+    busy.record_load(8, 0, time.now_ms())
     views = [closing, busy]
     long = upstream_choice.rank(views, wanted, ANYWHERE, time.now_ms())
     assert ids_of(long) == ["i-1", "i-0"]
--- a/tests/core/test_peer_loads.py
+++ b/tests/core/test_peer_loads.py
@@ -88,7 +88,7 @@
     view = table.get("i-1")
     assert view is not None
     view.note_sent(900, time.now_ms())
-    view.note_load(5, 0, time.now_ms())
+    view.record_load(5, 0, time.now_ms())
     view.note_sent(900, time.now_ms())
     assert view.load(time.now_ms()) == 6.0
     view.note_ended()
