--- a/src/marlramp/core/replica_view.py
+++ b/src/marlramp/core/replica_view.py
@@ -306,7 +306,7 @@
         self.load_ms = now_ms
         self.known_at_load = self.in_flight + self.others_in_flight
 
-    def note_sent(
+    def record_sent(
         self,
         prompt_tokens: int,
         now_ms: clock.Millis,
--- a/src/marlramp/direct/calls/replica_observer.py
+++ b/src/marlramp/direct/calls/replica_observer.py
@@ -40,7 +40,7 @@
         self._sent_ms = time.now_ms()
         self._first_ms: float | None = None
         self.first_event_ms: float | None = None
-        view.note_sent(prompt_tokens, time.now_ms(), choice.place)
+        view.record_sent(prompt_tokens, time.now_ms(), choice.place)
 
     def on_answer(self, answer: wire.ReplicaAnswer) -> None:
         """Takes the load and the weights that the answer tells."""
--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -92,7 +92,7 @@
     for _ in range(32):
         decision = admission.decide([view], herd, ANYWHERE, time.now_ms(), rng)
         if isinstance(decision, upstream_choice.Choice):
-            view.note_sent(900, time.now_ms(), decision.place)
+            view.record_sent(900, time.now_ms(), decision.place)
     view.record_load(16, view.in_flight - 16, time.now_ms())
     fresh = admission.decide([view], request_, ANYWHERE, time.now_ms(), rng)
     assert place_of(fresh) is FRONT
@@ -145,13 +145,13 @@
     # Load pattern: entries of three regions share an engine and tell only
     # those of their own what they have sent there. All that waits is late.
     for _ in range(8):
-        view.note_sent(900, time.now_ms(), BEHIND)
+        view.record_sent(900, time.now_ms(), BEHIND)
     view.record_load(16, 24, time.now_ms())
     decision = admission.decide([view], request_, ANYWHERE, time.now_ms(), rng)
     assert place_of(decision) is FRONT
     for _ in range(8):
         view.note_read(900, BEHIND)
-        view.note_sent(900, time.now_ms(), FRONT)
+        view.record_sent(900, time.now_ms(), FRONT)
     decision = admission.decide([view], request_, ANYWHERE, time.now_ms(), rng)
     assert place_of(decision) is not FRONT
 
@@ -342,7 +342,7 @@
         choice = admission.decide(views, plain, ANYWHERE, time.now_ms(), rng)
         assert isinstance(choice, upstream_choice.Choice)
         sent += choice.view is views[0]
-        choice.view.note_sent(0, time.now_ms())
+        choice.view.record_sent(0, time.now_ms())
         choice.view.note_ended()
         time.advance(100.0)
     assert sent > 90 / 2
@@ -375,7 +375,7 @@
         choice = admission.decide(views, plain, ANYWHERE, time.now_ms(), rng)
         assert isinstance(choice, upstream_choice.Choice)
         sent += choice.view is views[0]
-        choice.view.note_sent(0, time.now_ms())
+        choice.view.record_sent(0, time.now_ms())
         choice.view.note_ended()
     assert sent > 0
 
@@ -407,7 +407,7 @@
         choice = admission.decide(views, plain, ANYWHERE, time.now_ms(), rng)
         assert isinstance(choice, upstream_choice.Choice)
         sent += choice.view is views[0]
-        choice.view.note_sent(0, time.now_ms())
+        choice.view.record_sent(0, time.now_ms())
         choice.view.note_ended()
     assert sent > 0
 
@@ -574,7 +574,7 @@
     now_ms = clock.Millis(now_ms + availability.TRIAL_MS)
     first = admission.decide(views, plain, ANYWHERE, now_ms, rng)
     assert isinstance(first, upstream_choice.Choice)
-    first.view.note_sent(0, now_ms)
+    first.view.record_sent(0, now_ms)
     assert admission.decide(views, plain, ANYWHERE, now_ms, rng) is None
     first.view.availability.note_served(now_ms, now_ms)
     later_ms = clock.Millis(now_ms + availability.TRIAL_MS)
--- a/tests/core/test_peer_loads.py
+++ b/tests/core/test_peer_loads.py
@@ -87,9 +87,9 @@
 ) -> None:
     view = table.get("i-1")
     assert view is not None
-    view.note_sent(900, time.now_ms())
+    view.record_sent(900, time.now_ms())
     view.record_load(5, 0, time.now_ms())
-    view.note_sent(900, time.now_ms())
+    view.record_sent(900, time.now_ms())
     assert view.load(time.now_ms()) == 6.0
     view.note_ended()
     view.note_ended()
@@ -103,7 +103,7 @@
     assert updates.changed(PEERS, time.now_ms()) == []
     view = table.get("i-1")
     assert view is not None
-    view.note_sent(900, time.now_ms())
+    view.record_sent(900, time.now_ms())
     sent = peer_loads.OwnLoad("i-1", 1, 900)
     assert updates.changed(PEERS, time.now_ms()) == [sent]
     time.advance(peer_loads.falls_pause_ms(PEERS))
@@ -120,11 +120,11 @@
     assert first is not None
     assert second is not None
     updates = peer_loads.LoadNews(table)
-    first.note_sent(900, time.now_ms())
+    first.record_sent(900, time.now_ms())
     updates.changed(PEERS, time.now_ms())
     first.note_read(900)
     assert updates.changed(PEERS, time.now_ms()) == []
-    second.note_sent(700, time.now_ms())
+    second.record_sent(700, time.now_ms())
     assert updates.changed(PEERS, time.now_ms()) == [
         peer_loads.OwnLoad("i-1", 1, 0),
         peer_loads.OwnLoad("i-2", 1, 700),
@@ -137,7 +137,7 @@
     view = table.get("i-1")
     assert view is not None
     updates = peer_loads.LoadNews(table)
-    view.note_sent(900, time.now_ms())
+    view.record_sent(900, time.now_ms())
     updates.changed(PEERS, time.now_ms())
     view.note_read(900)
     view.note_ended()
@@ -163,7 +163,7 @@
     assert second is not None
     loads = peer_loads.PeerLoads(table)
     loads.take("entry-2", [peer_loads.OwnLoad("i-1", 2, 700)])
-    second.note_sent(900, time.now_ms())
+    second.record_sent(900, time.now_ms())
     reported = peer_loads.LoadNews(table).all(time.now_ms())
     assert reported == [peer_loads.OwnLoad("i-2", 1, 900)]
     loads.replace("entry-2", reported)
--- a/tests/core/test_replica_restarts.py
+++ b/tests/core/test_replica_restarts.py
@@ -37,7 +37,7 @@
     assert view is not None
     view.seen_weights = 1
     view.seen_ms = 10.0
-    view.note_sent(500, 10.0)
+    view.record_sent(500, 10.0)
     for _ in range(replica_view.FAILURES_MAX):
         view.note_broken(10.0)
     return found
--- a/tests/direct/fleet/limited_fleet.py
+++ b/tests/direct/fleet/limited_fleet.py
@@ -200,7 +200,7 @@
     ) -> None:
         replica = self.replicas[view.replica.replica_id]
         sent_ms = self.virtual.now_ms()
-        view.note_sent(0, sent_ms)
+        view.record_sent(0, sent_ms)
         await self.sleep(self.rng.uniform(*WAY_MS))
         name = f"{entry.name}/{sent_ms}"
         replica.need.arrived(name)
--- a/tests/direct/fleet/test_load_exchange.py
+++ b/tests/direct/fleet/test_load_exchange.py
@@ -103,7 +103,7 @@
 ) -> None:
     view = table.get("i-1")
     assert view is not None
-    view.note_sent(700, time.now_ms())
+    view.record_sent(700, time.now_ms())
     exchange._tell()
     loads = [peer_loads.OwnLoad("i-1", 1, 700)]
     whole = fleet_messages.OwnLoads(loads=loads, whole=True)
