--- a/src/marlramp/core/replica_view.py
+++ b/src/marlramp/core/replica_view.py
@@ -323,7 +323,7 @@
         self.availability.note_sent(now_ms)
         self.on_load_change(self.replica.replica_id)
 
-    def note_read(
+    def record_prompt_read(
         self,
         prompt_tokens: int,
         place: queue_place.QueuePlace = queue_place.QueuePlace.FRONT,
--- a/src/marlramp/direct/calls/replica_observer.py
+++ b/src/marlramp/direct/calls/replica_observer.py
@@ -122,7 +122,7 @@
 
     def _read(self) -> None:
         if self._tokens is not None:
-            self._view.note_read(self._tokens, self._place)
+            self._view.record_prompt_read(self._tokens, self._place)
             self._tokens = None
 
     def _spare(self, outcome: attempts.Outcome, now_ms: clock.Millis) -> None:
--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -150,7 +150,7 @@
     decision = admission.decide([view], request_, ANYWHERE, time.now_ms(), rng)
     assert place_of(decision) is FRONT
     for _ in range(8):
-        view.note_read(900, BEHIND)
+        view.record_prompt_read(900, BEHIND)
         view.record_sent(900, time.now_ms(), FRONT)
     decision = admission.decide([view], request_, ANYWHERE, time.now_ms(), rng)
     assert place_of(decision) is not FRONT
--- a/tests/core/test_peer_loads.py
+++ b/tests/core/test_peer_loads.py
@@ -108,7 +108,7 @@
     assert updates.changed(PEERS, time.now_ms()) == [sent]
     time.advance(peer_loads.falls_pause_ms(PEERS))
     assert updates.changed(PEERS, time.now_ms()) == []
-    view.note_read(900)
+    view.record_prompt_read(900)
     read = peer_loads.OwnLoad("i-1", 1, 0)
     assert updates.changed(PEERS, time.now_ms()) == [read]
 
@@ -122,7 +122,7 @@
     updates = peer_loads.LoadNews(table)
     first.record_sent(900, time.now_ms())
     updates.changed(PEERS, time.now_ms())
-    first.note_read(900)
+    first.record_prompt_read(900)
     assert updates.changed(PEERS, time.now_ms()) == []
     second.record_sent(700, time.now_ms())
     assert updates.changed(PEERS, time.now_ms()) == [
@@ -139,7 +139,7 @@
     updates = peer_loads.LoadNews(table)
     view.record_sent(900, time.now_ms())
     updates.changed(PEERS, time.now_ms())
-    view.note_read(900)
+    view.record_prompt_read(900)
     view.note_ended()
     assert updates.waits
     assert updates.changed(PEERS, time.now_ms()) == []
--- a/tests/direct/fleet/test_load_exchange.py
+++ b/tests/direct/fleet/test_load_exchange.py
@@ -111,7 +111,7 @@
     time.advance(load_exchange.TELL_MS)
     exchange._tell()
     assert len(sync.sent) == 1
-    view.note_read(700)
+    view.record_prompt_read(700)
     time.advance(load_exchange.TELL_MS)
     exchange._tell()
     assert sync.sent[-1][1].loads == [peer_loads.OwnLoad("i-1", 1, 0)]
