--- a/src/marlramp/core/replica_view.py
+++ b/src/marlramp/core/replica_view.py
@@ -336,7 +336,7 @@
             self.unread = max(0, self.unread - prompt_tokens)
         self.on_load_change(self.replica.replica_id)
 
-    def note_ended(self) -> None:
+    def record_ended(self) -> None:
         """Counts a request that ended at the replica."""
         self.in_flight -= 1
         self.on_load_change(self.replica.replica_id)
--- a/src/marlramp/direct/calls/replica_observer.py
+++ b/src/marlramp/direct/calls/replica_observer.py
@@ -80,7 +80,7 @@
         if self._first_ms is None and failure is not None:
             self._note_unbegun()
         self._read()
-        self._view.note_ended()
+        self._view.record_ended()
         if failure is None:
             self._view.note_good(now_ms)
             if events is not None and self._first_ms is not None:
@@ -99,7 +99,7 @@
         if self._first_ms is None:
             self._note_unbegun()
         self._read()
-        self._view.note_ended()
+        self._view.record_ended()
 
     def _note_wait(self, taken_ms: float) -> None:
         now_ms = self._clock.now_ms()
--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -343,7 +343,7 @@
         assert isinstance(choice, upstream_choice.Choice)
         sent += choice.view is views[0]
         choice.view.record_sent(0, time.now_ms())
-        choice.view.note_ended()
+        choice.view.record_ended()
         time.advance(100.0)
     assert sent > 90 / 2
 
@@ -376,7 +376,7 @@
         assert isinstance(choice, upstream_choice.Choice)
         sent += choice.view is views[0]
         choice.view.record_sent(0, time.now_ms())
-        choice.view.note_ended()
+        choice.view.record_ended()
     assert sent > 0
 
 
@@ -408,7 +408,7 @@
         assert isinstance(choice, upstream_choice.Choice)
         sent += choice.view is views[0]
         choice.view.record_sent(0, time.now_ms())
-        choice.view.note_ended()
+        choice.view.record_ended()
     assert sent > 0
 
 
--- a/tests/core/test_peer_loads.py
+++ b/tests/core/test_peer_loads.py
@@ -91,8 +91,8 @@
     view.record_load(5, 0, time.now_ms())
     view.record_sent(900, time.now_ms())
     assert view.load(time.now_ms()) == 6.0
-    view.note_ended()
-    view.note_ended()
+    view.record_ended()
+    view.record_ended()
     assert view.load(time.now_ms()) == 4.0
 
 
@@ -140,7 +140,7 @@
     view.record_sent(900, time.now_ms())
     updates.changed(PEERS, time.now_ms())
     view.record_prompt_read(900)
-    view.note_ended()
+    view.record_ended()
     assert updates.waits
     assert updates.changed(PEERS, time.now_ms()) == []
     time.advance(peer_loads.falls_pause_ms(PEERS))
--- a/tests/core/test_replica_restarts.py
+++ b/tests/core/test_replica_restarts.py
@@ -75,7 +75,7 @@
     assert table.sync(known, 20.0) == ["i-1"]
     assert_unknown(table)
     assert before is not None
-    before.note_ended()
+    before.record_ended()
     assert_unknown(table)
 
 
--- a/tests/direct/fleet/limited_fleet.py
+++ b/tests/direct/fleet/limited_fleet.py
@@ -210,7 +210,7 @@
         await self.sleep(self.rng.uniform(*WAY_MS))
         if not entry.running:
             return
-        view.note_ended()
+        view.record_ended()
         entry.limits.note_answer(view, answer(per_s), sent_ms)
         self.served += 1
 
