--- a/src/marlramp/core/replica_view.py
+++ b/src/marlramp/core/replica_view.py
@@ -341,7 +341,7 @@
         self.in_flight -= 1
         self.on_load_change(self.replica.replica_id)
 
-    def note_answered(self, taken_ms: float, now_ms: clock.Millis) -> None:
+    def record_answer(self, taken_ms: float, now_ms: clock.Millis) -> None:
         """Records the duration of a successful plain answer.
 
         The first answers have equal weight, so that a replica that receives few
--- a/src/marlramp/direct/calls/replica_observer.py
+++ b/src/marlramp/direct/calls/replica_observer.py
@@ -86,7 +86,7 @@
             if events is not None and self._first_ms is not None:
                 self._view.note_run(now_ms - self._first_ms, events)
             elif events is None:
-                self._view.note_answered(now_ms - self._sent_ms, now_ms)
+                self._view.record_answer(now_ms - self._sent_ms, now_ms)
         elif failure.ran is errors.Ran.NO:
             self._spare(outcome, now_ms)
         elif outcome.answer is not None:
--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -296,10 +296,10 @@
         for n in range(2)
     ]
     for _ in range(answers):
-        views[1].note_answered(58.0, time.now_ms())
+        views[1].record_answer(58.0, time.now_ms())
     time.advance(age_ms)
     for _ in range(10):
-        views[0].note_answered(40.0, time.now_ms())
+        views[0].record_answer(40.0, time.now_ms())
     plain = msgspec.structs.replace(
         request_,
         wanted=msgspec.structs.replace(request_.wanted, engine=None),
@@ -332,7 +332,7 @@
         taken_ms = 12.5 if view is views[0] else 11.25
         for _ in range(3):
             view.note_first(taken_ms, 11.25, time.now_ms())
-            view.note_answered(taken_ms, time.now_ms())
+            view.record_answer(taken_ms, time.now_ms())
     plain = msgspec.structs.replace(
         request_,
         wanted=msgspec.structs.replace(request_.wanted, engine=None),
@@ -363,7 +363,7 @@
         for n in range(12)
     ]
     for view in views:
-        view.note_answered(11.0, time.now_ms())
+        view.record_answer(11.0, time.now_ms())
     views[0].availability.note_refused(time.now_ms(), time.now_ms())
     time.advance(3_000.0)
     plain = msgspec.structs.replace(
@@ -395,7 +395,7 @@
         for n in range(12)
     ]
     for view in views:
-        view.note_answered(11.0, time.now_ms())
+        view.record_answer(11.0, time.now_ms())
     views[0].note_broken(time.now_ms())
     time.advance(20_000.0)
     plain = msgspec.structs.replace(
