--- a/src/marlramp/core/replica_view.py
+++ b/src/marlramp/core/replica_view.py
@@ -395,7 +395,7 @@
         """Returns by how much the path latency exceeds the fixed margins."""
         return path_latency.beyond_margin_ms(self.path_latency_ms(now_ms))
 
-    def note_run(self, taken_ms: float, events: int) -> None:
+    def record_run(self, taken_ms: float, events: int) -> None:
         """Records the time from a stream's first event to its end."""
         self.run_ms += TIME_SMOOTHING * (taken_ms - self.run_ms)
         if events > 1:
--- a/src/marlramp/direct/calls/replica_observer.py
+++ b/src/marlramp/direct/calls/replica_observer.py
@@ -84,7 +84,7 @@
         if failure is None:
             self._view.note_good(now_ms)
             if events is not None and self._first_ms is not None:
-                self._view.note_run(now_ms - self._first_ms, events)
+                self._view.record_run(now_ms - self._first_ms, events)
             elif events is None:
                 self._view.record_answer(now_ms - self._sent_ms, now_ms)
         elif failure.ran is errors.Ran.NO:
