--- a/src/marlramp/core/replica_view.py
+++ b/src/marlramp/core/replica_view.py
@@ -430,7 +430,7 @@
             return self.behind_bias.factor(now_ms)
         return max(1.0, self.front_bias.factor(now_ms))
 
-    def note_first(
+    def record_first_event(
         self, taken_ms: float, predicted_ms: float, now_ms: clock.Millis
     ) -> None:
         """Records the time to a first event and its prediction.
--- a/src/marlramp/direct/calls/replica_observer.py
+++ b/src/marlramp/direct/calls/replica_observer.py
@@ -107,7 +107,7 @@
             bias = self._view.behind_bias
             bias.note(taken_ms, self._unbiased_ms, now_ms)
         else:
-            self._view.note_first(taken_ms, self._unbiased_ms, now_ms)
+            self._view.record_first_event(taken_ms, self._unbiased_ms, now_ms)
 
     def _note_unbegun(self) -> None:
         """Takes a wait that brought nothing, if it was longer than predicted.
--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -331,7 +331,7 @@
     for view in views:
         taken_ms = 12.5 if view is views[0] else 11.25
         for _ in range(3):
-            view.note_first(taken_ms, 11.25, time.now_ms())
+            view.record_first_event(taken_ms, 11.25, time.now_ms())
             view.record_answer(taken_ms, time.now_ms())
     plain = msgspec.structs.replace(
         request_,
