--- a/src/marlramp/core/replica_view.py
+++ b/src/marlramp/core/replica_view.py
@@ -453,7 +453,7 @@
             0.5, age_ms / FAILURE_HALF_LIFE_MS
         )
 
-    def note_good(self, now_ms: clock.Millis) -> None:
+    def record_success(self, now_ms: clock.Millis) -> None:
         """Counts a successful answer."""
         self._record_outcome(0.0, now_ms)
         self.breaker.record_success()
--- a/src/marlramp/direct/calls/replica_observer.py
+++ b/src/marlramp/direct/calls/replica_observer.py
@@ -82,7 +82,7 @@
         self._read()
         self._view.record_ended()
         if failure is None:
-            self._view.note_good(now_ms)
+            self._view.record_success(now_ms)
             if events is not None and self._first_ms is not None:
                 self._view.record_run(now_ms - self._first_ms, events)
             elif events is None:
