--- a/src/marlramp/core/replica_view.py
+++ b/src/marlramp/core/replica_view.py
@@ -458,13 +458,13 @@
         self._record_outcome(0.0, now_ms)
         self.breaker.record_success()
 
-    def note_error(self, now_ms: clock.Millis) -> None:
+    def record_error(self, now_ms: clock.Millis) -> None:
         """Counts an answer that reports a failure."""
         self._record_outcome(1.0, now_ms)
 
     def note_broken(self, now_ms: clock.Millis) -> None:
         """Counts a request that received no complete answer."""
-        self.note_error(now_ms)
+        self.record_error(now_ms)
         self.breaker.record_failure(now_ms)
 
     def note_unreachable(self, now_ms: clock.Millis) -> None:
@@ -474,7 +474,7 @@
         If several requests tried it again, each would lose one of its few
         attempts.
         """
-        self.note_error(now_ms)
+        self.record_error(now_ms)
         self.breaker.trip(now_ms)
 
     def _record_outcome(self, failed: float, now_ms: clock.Millis) -> None:
--- a/src/marlramp/direct/calls/replica_observer.py
+++ b/src/marlramp/direct/calls/replica_observer.py
@@ -90,7 +90,7 @@
         elif failure.ran is errors.Ran.NO:
             self._spare(outcome, now_ms)
         elif outcome.answer is not None:
-            self._view.note_error(now_ms)
+            self._view.record_error(now_ms)
         else:
             self._view.note_broken(now_ms)
 
--- a/tests/core/test_direct_decisions.py
+++ b/tests/core/test_direct_decisions.py
@@ -104,7 +104,7 @@
 ) -> None:
     failing = view_of(make_replica(replica_id="i-0"))
     for _ in range(5):
-        failing.note_error(time.now_ms())
+        failing.record_error(time.now_ms())
     sound = view_of(make_replica())
     ranked = upstream_choice.rank(
         [failing, sound], WANTED, ANYWHERE, time.now_ms()
