--- a/src/marlramp/core/replica_view.py
+++ b/src/marlramp/core/replica_view.py
@@ -462,7 +462,7 @@
         """Counts an answer that reports a failure."""
         self._record_outcome(1.0, now_ms)
 
-    def note_broken(self, now_ms: clock.Millis) -> None:
+    def record_incomplete(self, now_ms: clock.Millis) -> None:
         """Counts a request that received no complete answer."""
         self.record_error(now_ms)
         self.breaker.record_failure(now_ms)
--- a/src/marlramp/direct/calls/replica_observer.py
+++ b/src/marlramp/direct/calls/replica_observer.py
@@ -92,7 +92,7 @@
         elif outcome.answer is not None:
             self._view.record_error(now_ms)
         else:
-            self._view.note_broken(now_ms)
+            self._view.record_incomplete(now_ms)
 
     def left(self) -> None:
         """The caller left before the attempt ended."""
--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -396,7 +396,7 @@
     ]
     for view in views:
         view.record_answer(11.0, time.now_ms())
-    views[0].note_broken(time.now_ms())
+    views[0].record_incomplete(time.now_ms())
     time.advance(20_000.0)
     plain = msgspec.structs.replace(
         request_,
--- a/tests/core/test_direct_decisions.py
+++ b/tests/core/test_direct_decisions.py
@@ -118,7 +118,7 @@
     views = [view_of(make_replica(replica_id=f"i-{n}")) for n in range(3)]
     for view in views:
         for _ in range(3):
-            view.note_broken(time.now_ms())
+            view.record_incomplete(time.now_ms())
     ranked = upstream_choice.rank(views, WANTED, ANYWHERE, time.now_ms())
     assert len(ranked) == 3
 
--- a/tests/core/test_replica_restarts.py
+++ b/tests/core/test_replica_restarts.py
@@ -39,7 +39,7 @@
     view.seen_ms = 10.0
     view.record_sent(500, 10.0)
     for _ in range(replica_view.FAILURES_MAX):
-        view.note_broken(10.0)
+        view.record_incomplete(10.0)
     return found
 
 
