--- a/src/marlramp/core/replica_view.py
+++ b/src/marlramp/core/replica_view.py
@@ -467,7 +467,7 @@
         self.record_error(now_ms)
         self.breaker.record_failure(now_ms)
 
-    def note_unreachable(self, now_ms: clock.Millis) -> None:
+    def record_unreachable(self, now_ms: clock.Millis) -> None:
         """Counts a connection that could not be opened.
 
         The replica is down, unreachable or full, so the breaker opens at once.
--- a/src/marlramp/direct/calls/replica_observer.py
+++ b/src/marlramp/direct/calls/replica_observer.py
@@ -128,7 +128,7 @@
     def _spare(self, outcome: attempts.Outcome, now_ms: clock.Millis) -> None:
         """Leaves a replica alone that was not reached or is not the one."""
         if outcome.answer is None:
-            self._view.note_unreachable(now_ms)
+            self._view.record_unreachable(now_ms)
             return
         if outcome.answer.status == errors.MISDIRECTED:
             wait_ms = replica_view.MISDIRECTED_BACKOFF_MS
--- a/tests/core/test_direct_decisions.py
+++ b/tests/core/test_direct_decisions.py
@@ -270,7 +270,7 @@
     make_replica: MakeReplica, time: clock.ManualClock
 ) -> None:
     views = [view_of(make_replica(replica_id=f"i-{n}")) for n in range(3)]
-    views[0].note_unreachable(time.now_ms())
+    views[0].record_unreachable(time.now_ms())
     ranked = upstream_choice.rank(views, WANTED, ANYWHERE, time.now_ms())
     assert ids_of(ranked) == ["i-1", "i-2"]
     time.advance(1_500.0)
