--- a/src/marlramp/core/replica_view.py
+++ b/src/marlramp/core/replica_view.py
@@ -240,7 +240,7 @@
         fresh = now_ms - self.reported_ms < REPORT_FRESH_MS
         return self.report is None or not fresh or self.report.opens
 
-    def takes(self, now_ms: clock.Millis) -> bool:
+    def accepts_assigned(self, now_ms: clock.Millis) -> bool:
         """Returns whether a request assigned to the replica may be written."""
         healthy = self.replica.state is fleet.ReplicaState.HEALTHY
         return healthy and self.availability.takes(now_ms)
--- a/src/marlramp/core/upstream_choice.py
+++ b/src/marlramp/core/upstream_choice.py
@@ -185,7 +185,7 @@
 
     Backoffs and trials after the selection are ignored.
     """
-    open_now = view.takes(now_ms) and view.is_reported_open(now_ms)
+    open_now = view.accepts_assigned(now_ms) and view.is_reported_open(now_ms)
     return open_now and _is_compatible(view, wanted, now_ms)
 
 
--- a/src/marlramp/direct/calls/sender.py
+++ b/src/marlramp/direct/calls/sender.py
@@ -173,7 +173,9 @@
             weights = view.weights(now_ms)
             choice = msgspec.structs.replace(choice, weights=weights)
             choice = self._ends.dated(call, choice)
-            if not view.takes(now_ms) or not choice.may_be_written(now_ms):
+            if not view.accepts_assigned(now_ms) or not choice.may_be_written(
+                now_ms
+            ):
                 call.sends -= 1
                 observer.left()
                 pool.give_back(connection)
