--- a/src/marlramp/core/replica_view.py
+++ b/src/marlramp/core/replica_view.py
@@ -231,7 +231,7 @@
         """Whether the list still shows an earlier start of the replica."""
         return is_newer_start(self.born_ms, self.replica.born_ms)
 
-    def opens(self, now_ms: clock.Millis) -> bool:
+    def accepts_new(self, now_ms: clock.Millis) -> bool:
         """Returns whether the replica is believed to accept new requests."""
         return self.availability.opens(now_ms) and self.is_reported_open(now_ms)
 
--- a/src/marlramp/core/upstream_choice.py
+++ b/src/marlramp/core/upstream_choice.py
@@ -175,7 +175,7 @@
 
     The replica's rate limit isn't considered.
     """
-    return _is_compatible(view, wanted, now_ms) and view.opens(now_ms)
+    return _is_compatible(view, wanted, now_ms) and view.accepts_new(now_ms)
 
 
 def still_usable(
--- a/tests/core/test_replica_restarts.py
+++ b/tests/core/test_replica_restarts.py
@@ -176,4 +176,4 @@
     earlier.availability.note_pause(3_000.0, 0.0, 1_100.0)
     later = table.get("i-1")
     assert later is not None
-    assert later.opens(1_200.0)
+    assert later.accepts_new(1_200.0)
