--- a/src/marlramp/core/replica_view.py
+++ b/src/marlramp/core/replica_view.py
@@ -443,7 +443,7 @@
         shared = max(1.0, self.front_bias.factor(now_ms))
         ratio = taken_ms / max(1.0, predicted_ms * shared)
         ratio = min(BIAS_MAX, max(BIAS_MIN, ratio))
-        self.front_bias.note(taken_ms, predicted_ms * self.bias, now_ms)
+        self.front_bias.record(taken_ms, predicted_ms * self.bias, now_ms)
         self.bias += TIME_SMOOTHING * (ratio - self.bias)
 
     def failure_share(self, now_ms: clock.Millis) -> float:
--- a/src/marlramp/core/wait_bias.py
+++ b/src/marlramp/core/wait_bias.py
@@ -50,7 +50,7 @@
         age_ms = now_ms - self._updated_ms
         return 1.0 + self._excess * math.exp(-age_ms / RELEASE_MS)
 
-    def note(
+    def record(
         self, taken_ms: float, predicted_ms: float, now_ms: clock.Millis
     ) -> None:
         """Records a wait that has ended or is still going on.
--- a/src/marlramp/direct/calls/replica_observer.py
+++ b/src/marlramp/direct/calls/replica_observer.py
@@ -105,7 +105,7 @@
         now_ms = self._clock.now_ms()
         if self._place is queue_place.QueuePlace.BEHIND:
             bias = self._view.behind_bias
-            bias.note(taken_ms, self._unbiased_ms, now_ms)
+            bias.record(taken_ms, self._unbiased_ms, now_ms)
         else:
             self._view.record_first_event(taken_ms, self._unbiased_ms, now_ms)
 
--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -169,7 +169,7 @@
     decision = admission.decide([view], request, ANYWHERE, time.now_ms(), rng)
     assert place_of(decision) is BEHIND
     for _ in range(10):
-        view.behind_bias.note(1_800.0, 600.0, time.now_ms())
+        view.behind_bias.record(1_800.0, 600.0, time.now_ms())
     decision = admission.decide([view], request, ANYWHERE, time.now_ms(), rng)
     assert isinstance(decision, admission.Refusal)
     time.advance(4 * wait_bias.RELEASE_MS)
