--- a/src/marlramp/core/upstream_choice.py
+++ b/src/marlramp/core/upstream_choice.py
@@ -101,7 +101,7 @@
     place: queue_place.QueuePlace = queue_place.QueuePlace.FRONT
     alone: bool = False
     limit_wait_max_ms: float = 0.0
-    leaves: Sequence[weights_gate.Leave] = ()
+    cutoffs: Sequence[weights_gate.Leave] = ()
 
 
 class Choice(msgspec.Struct, frozen=True):
@@ -203,8 +203,8 @@
         weights = view.weights(now_ms)
         if weights == 0 or weights < wanted.oldest_weights:
             return False
-        if wanted.leaves:
-            leaves_ms = weights_gate.leaves_ms(wanted.leaves, weights)
+        if wanted.cutoffs:
+            leaves_ms = weights_gate.leaves_ms(wanted.cutoffs, weights)
             return now_ms < leaves_ms - view.latency_beyond_margin_ms(now_ms)
     return True
 
--- a/src/marlramp/direct/calls/selection.py
+++ b/src/marlramp/direct/calls/selection.py
@@ -173,7 +173,7 @@
             oldest_weights=self._oldest_weights(
                 call.service, weights_gate.QUEUE_MARGIN_MS, now_ms
             ),
-            leaves=self._leaves(call.service, now_ms),
+            cutoffs=self._leaves(call.service, now_ms),
             failed=call.failed,
             alone=call.suspected,
             limit_wait_max_ms=call.limit_wait_max_ms(now_ms),
--- a/tests/core/test_leaving_versions.py
+++ b/tests/core/test_leaving_versions.py
@@ -86,7 +86,7 @@
         oldest_weights=weights_gate.oldest_allowed(
             target, BOUND_MS, now_ms - 60_000.0, now_ms
         ),
-        leaves=weights_gate.leaves(target, BOUND_MS, now_ms),
+        cutoffs=weights_gate.leaves(target, BOUND_MS, now_ms),
         failed=(),
     )
 
