--- a/src/marlramp/core/upstream_choice.py
+++ b/src/marlramp/core/upstream_choice.py
@@ -99,7 +99,7 @@
     oldest_weights: int
     failed: Collection[str]
     place: queue_place.QueuePlace = queue_place.QueuePlace.FRONT
-    alone: bool = False
+    isolated: bool = False
     limit_wait_max_ms: float = 0.0
     cutoffs: Sequence[weights_gate.Leave] = ()
 
@@ -484,6 +484,6 @@
     cost_ms *= 1.0 + FAILURE_WEIGHT * failed_share
     over_ms = _overrun_ms(choice.predicted_ms, view, wanted, now_ms)
     cost_ms += OVERRUN_WEIGHT * over_ms
-    if wanted.alone:
+    if wanted.isolated:
         cost_ms += ISOLATION_COST_MS * choice.load
     return cost_ms
--- a/src/marlramp/direct/calls/selection.py
+++ b/src/marlramp/direct/calls/selection.py
@@ -175,7 +175,7 @@
             ),
             cutoffs=self._leaves(call.service, now_ms),
             failed=call.failed,
-            alone=call.suspected,
+            isolated=call.suspected,
             limit_wait_max_ms=call.limit_wait_max_ms(now_ms),
         )
 
