--- a/src/marlramp/core/admission.py
+++ b/src/marlramp/core/admission.py
@@ -148,7 +148,7 @@
         return front
     yielding = msgspec.structs.replace(
         wanted,
-        place=queue_place.QueuePlace.BEHIND,
+        position=queue_place.QueuePlace.BEHIND,
         oldest_weights=max(wanted.oldest_weights, request.oldest_behind),
     )
     ranked_behind = upstream_choice.rank(views, yielding, places, now_ms)
--- a/src/marlramp/core/upstream_choice.py
+++ b/src/marlramp/core/upstream_choice.py
@@ -98,7 +98,7 @@
     events: float
     oldest_weights: int
     failed: Collection[str]
-    place: queue_place.QueuePlace = queue_place.QueuePlace.FRONT
+    position: queue_place.QueuePlace = queue_place.QueuePlace.FRONT
     isolated: bool = False
     limit_wait_max_ms: float = 0.0
     cutoffs: Sequence[weights_gate.Leave] = ()
@@ -253,12 +253,12 @@
         answer_ms = view.likely_answer_ms(least_ms, now_ms)
         ahead = max(0.0, view.load(now_ms) + 1 - view.replica.slots)
         return answer_ms * (1.0 + ahead / max(1, view.replica.slots))
-    load = view.load_ahead(wanted.place, now_ms)
+    load = view.load_ahead(wanted.position, now_ms)
     slots = wanted.engine.batch
     believed = engine_load.EngineLoad(
         running=min(load, slots),
         waiting=max(0.0, load - slots),
-        unread_tokens=view.unread_ahead(wanted.place),
+        unread_tokens=view.unread_ahead(wanted.position),
         pace=1.0 if view.report is None else max(1.0, view.report.pace),
     )
     return engine_load.first_token_ms(
@@ -451,8 +451,8 @@
         unbiased_ms,
         load=view.load(now_ms),
         load_age_ms=now_ms - view.load_ms,
-        unread_tokens=view.unread_ahead(wanted.place),
-        place=wanted.place,
+        unread_tokens=view.unread_ahead(wanted.position),
+        place=wanted.position,
         limit_per_s=None if view.limit is None else view.limit.per_s,
         limit_wait_max_ms=limit_wait_max_ms(view, wanted, now_ms),
     )
@@ -468,8 +468,8 @@
     replicas share applies.
     """
     if wanted.engine is None:
-        return view.shared_bias_of(wanted.place, now_ms)
-    return view.bias_of(wanted.place, now_ms)
+        return view.shared_bias_of(wanted.position, now_ms)
+    return view.bias_of(wanted.position, now_ms)
 
 
 def _time_cost_ms(
