--- a/src/marlramp/core/upstream_choice.py
+++ b/src/marlramp/core/upstream_choice.py
@@ -136,7 +136,7 @@
     load: float
     load_age_ms: float
     unread_tokens: int
-    place: queue_place.QueuePlace
+    position: queue_place.QueuePlace
     weights: int = 0
     begins_until_ms: float = float("inf")
     sent_until_ms: float = float("inf")
@@ -452,7 +452,7 @@
         load=view.load(now_ms),
         load_age_ms=now_ms - view.load_ms,
         unread_tokens=view.unread_ahead(wanted.position),
-        place=wanted.position,
+        position=wanted.position,
         limit_per_s=None if view.limit is None else view.limit.per_s,
         limit_wait_max_ms=limit_wait_max_ms(view, wanted, now_ms),
     )
--- a/src/marlramp/direct/calls/forwarder.py
+++ b/src/marlramp/direct/calls/forwarder.py
@@ -346,7 +346,7 @@
             limit_per_s=choice.limit_per_s,
             begins_within_ms=_rounded(choice.begins_within_ms),
             way_ms=round(tried.way_ms),
-            place=choice.place.value,
+            place=choice.position.value,
             spent_ms=round(call.spent_ms),
             first_ms=round(tried.first_event_ms or 0.0),
             pause_ms=round(call.relay.longest_pause_ms),
--- a/src/marlramp/direct/calls/replica_observer.py
+++ b/src/marlramp/direct/calls/replica_observer.py
@@ -32,7 +32,7 @@
         view = choice.view
         self._view = view
         self._unbiased_ms = choice.unbiased_ms
-        self._place = choice.place
+        self._place = choice.position
         self._tokens: int | None = prompt_tokens
         self._limits = limits
         self._signals = signals
@@ -40,7 +40,7 @@
         self._sent_ms = time.now_ms()
         self._first_ms: float | None = None
         self.first_event_ms: float | None = None
-        view.record_sent(prompt_tokens, time.now_ms(), choice.place)
+        view.record_sent(prompt_tokens, time.now_ms(), choice.position)
 
     def on_answer(self, answer: wire.ReplicaAnswer) -> None:
         """Takes the load and the weights that the answer tells."""
--- a/src/marlramp/direct/calls/sender.py
+++ b/src/marlramp/direct/calls/sender.py
@@ -311,7 +311,7 @@
             if call.customer is None
             else call.customer.customer_id,
             weights=None if engine is None else choice.weights,
-            priority=_priority(call, choice.place),
+            priority=_priority(call, choice.position),
             resume_after=call.relay.splitter.last_id,
         )
 
--- a/src/marlramp/experiments/overload.py
+++ b/src/marlramp/experiments/overload.py
@@ -274,7 +274,7 @@
             observer.ended(attempts.Outcome(failure=None), caller.events)
 
         job = overload_engine.Job(
-            place=choice.place,
+            place=choice.position,
             sent_ms=self._time.now_ms(),
             unread_tokens=caller.prompt_tokens,
             events_left=caller.events,
--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -55,7 +55,7 @@
     decision: upstream_choice.Choice | admission.Refusal | None,
 ) -> queue_place.QueuePlace | None:
     if isinstance(decision, upstream_choice.Choice):
-        return decision.place
+        return decision.position
     return None
 
 
@@ -92,7 +92,7 @@
     for _ in range(32):
         decision = admission.decide([view], herd, ANYWHERE, time.now_ms(), rng)
         if isinstance(decision, upstream_choice.Choice):
-            view.record_sent(900, time.now_ms(), decision.place)
+            view.record_sent(900, time.now_ms(), decision.position)
     view.record_load(16, view.in_flight - 16, time.now_ms())
     fresh = admission.decide([view], request_, ANYWHERE, time.now_ms(), rng)
     assert place_of(fresh) is FRONT
