--- a/src/marlramp/core/upstream_choice.py
+++ b/src/marlramp/core/upstream_choice.py
@@ -144,7 +144,7 @@
     limit_per_s: float | None = None
     limit_wait_max_ms: float = 0.0
 
-    def taken_back_ms(self, now_ms: clock.Millis) -> float:
+    def withdrawal_ms(self, now_ms: clock.Millis) -> float:
         """Returns when the request is withdrawn if it has not begun.
 
         The result is a clock reading. It depends on the path latency that is
--- a/src/marlramp/direct/calls/selection.py
+++ b/src/marlramp/direct/calls/selection.py
@@ -189,7 +189,7 @@
         weights = choice.view.weights(now_ms)
         chosen = msgspec.structs.replace(choice, weights=weights)
         dated = self.dated(call, chosen)
-        left_ms = dated.taken_back_ms(now_ms) - now_ms
+        left_ms = dated.withdrawal_ms(now_ms) - now_ms
         return msgspec.structs.replace(dated, begins_within_ms=left_ms)
 
     def dated(
--- a/src/marlramp/direct/calls/sender.py
+++ b/src/marlramp/direct/calls/sender.py
@@ -335,7 +335,7 @@
             heard_ms=choice.view.heard_ms,
             gap_max_ms=gap_max_ms if route.streaming else 0.0,
             predicted_ms=choice.predicted_ms,
-            begins_until_ms=choice.taken_back_ms(self._clock.now_ms()),
+            begins_until_ms=choice.withdrawal_ms(self._clock.now_ms()),
         )
         return attempt_limits.limit_ms(waiting)
 
--- a/tests/core/test_leaving_versions.py
+++ b/tests/core/test_leaving_versions.py
@@ -131,7 +131,7 @@
         if written:
             until_ms = now_ms
             # The request has as much time to begin as with a low latency.
-            wait_ms = choice.taken_back_ms(now_ms) - now_ms
+            wait_ms = choice.withdrawal_ms(now_ms) - now_ms
             assert wait_ms > (
                 weights_gate.QUEUE_MARGIN_MS - weights_gate.LEAVE_MARGIN_MS
             )
@@ -154,7 +154,7 @@
     view = view_of(table, "i-1")
     view.record_latency(way_ms, time.now_ms())
     choice = chosen(known, view, engine, time.now_ms())
-    taken_back_ms = choice.taken_back_ms(time.now_ms())
+    taken_back_ms = choice.withdrawal_ms(time.now_ms())
     assert taken_back_ms == (
         time.now_ms() + BOUND_MS - weights_gate.LEAVE_MARGIN_MS
     )
@@ -171,7 +171,7 @@
     for replica_id, least_ms in (("i-1", 150.0), ("i-2", 150.0), ("i-3", 0.0)):
         view = view_of(table, replica_id)
         choice = chosen(known, view, engine, time.now_ms())
-        margin_ms = mandatory_ms - choice.taken_back_ms(time.now_ms())
+        margin_ms = mandatory_ms - choice.withdrawal_ms(time.now_ms())
         assert margin_ms > least_ms + 50.0
         assert (margin_ms == weights_gate.LEAVE_MARGIN_MS) == (
             replica_id == "i-3"
