--- a/src/marlramp/core/upstream_choice.py
+++ b/src/marlramp/core/upstream_choice.py
@@ -152,7 +152,7 @@
         """
         return self.begins_until_ms - self.view.latency_beyond_margin_ms(now_ms)
 
-    def needs_way(self, now_ms: clock.Millis) -> bool:
+    def needs_latency(self, now_ms: clock.Millis) -> bool:
         """Returns whether the path latency must be measured before writing.
 
         A link may have become congested since the last measurement. A request
--- a/src/marlramp/direct/calls/sender.py
+++ b/src/marlramp/direct/calls/sender.py
@@ -213,7 +213,7 @@
         share = 1.0 if call.route.repeatable else FRESH_IDLE_SHARE
         asked_ms = self._clock.now_ms()
         # Opening one measures the way, before an old version gets the request.
-        if not choice.needs_way(asked_ms):
+        if not choice.needs_latency(asked_ms):
             connection = pool.take_idle(share)
             if connection is not None:
                 return connection
