--- a/src/marlramp/core/peer_loads.py
+++ b/src/marlramp/core/peer_loads.py
@@ -104,7 +104,7 @@
         view.others_behind_unread = sum(load.behind_tokens for load in loads)
 
 
-class LoadNews:
+class LoadUpdates:
     """Selects the changes of this entry's loads to report to its peers."""
 
     def __init__(
--- a/src/marlramp/direct/fleet/load_exchange.py
+++ b/src/marlramp/direct/fleet/load_exchange.py
@@ -49,7 +49,7 @@
         self._totals = totals
         self._clock = time
         self._changed = asyncio.Event()
-        self._news = peer_loads.LoadNews(table, self._changed.set)
+        self._news = peer_loads.LoadUpdates(table, self._changed.set)
         self._loads = peer_loads.PeerLoads(table)
         self._peers: set[str] = set()
         self._refreshed_ms = float("-inf")
--- a/src/marlramp/experiments/overload.py
+++ b/src/marlramp/experiments/overload.py
@@ -94,7 +94,7 @@
         self.table = replica_table.ReplicaTable()
         self.table.sync(known, clock.Millis(now_ms))
         self.loads = peer_loads.PeerLoads(self.table)
-        self.news = peer_loads.LoadNews(self.table)
+        self.news = peer_loads.LoadUpdates(self.table)
         self.waits = caller_waits.CallerWaits(TIMEOUT_MS)
         self.places = upstream_choice.Places({_data_centre(region)})
 
--- a/tests/core/test_peer_loads.py
+++ b/tests/core/test_peer_loads.py
@@ -99,7 +99,7 @@
 def test_only_changes_are_reported(
     table: replica_table.ReplicaTable, time: clock.ManualClock
 ) -> None:
-    updates = peer_loads.LoadNews(table)
+    updates = peer_loads.LoadUpdates(table)
     assert updates.changed(PEERS, time.now_ms()) == []
     view = table.get("i-1")
     assert view is not None
@@ -119,7 +119,7 @@
     first, second = table.get("i-1"), table.get("i-2")
     assert first is not None
     assert second is not None
-    updates = peer_loads.LoadNews(table)
+    updates = peer_loads.LoadUpdates(table)
     first.record_sent(900, time.now_ms())
     updates.changed(PEERS, time.now_ms())
     first.record_prompt_read(900)
@@ -136,7 +136,7 @@
 ) -> None:
     view = table.get("i-1")
     assert view is not None
-    updates = peer_loads.LoadNews(table)
+    updates = peer_loads.LoadUpdates(table)
     view.record_sent(900, time.now_ms())
     updates.changed(PEERS, time.now_ms())
     view.record_prompt_read(900)
@@ -164,7 +164,7 @@
     loads = peer_loads.PeerLoads(table)
     loads.take("entry-2", [peer_loads.OwnLoad("i-1", 2, 700)])
     second.record_sent(900, time.now_ms())
-    reported = peer_loads.LoadNews(table).all(time.now_ms())
+    reported = peer_loads.LoadUpdates(table).all(time.now_ms())
     assert reported == [peer_loads.OwnLoad("i-2", 1, 900)]
     loads.replace("entry-2", reported)
     assert (first.others_in_flight, second.others_in_flight) == (0, 1)
