--- a/src/marlramp/core/peer_loads.py
+++ b/src/marlramp/core/peer_loads.py
@@ -145,7 +145,7 @@
         return sorted(updates, key=lambda load: load.replica_id)
 
     @property
-    def waits(self) -> bool:
+    def has_pending(self) -> bool:
         """Whether a change has not been reported yet."""
         return bool(self._changed)
 
--- a/tests/core/test_peer_loads.py
+++ b/tests/core/test_peer_loads.py
@@ -141,12 +141,12 @@
     updates.changed(PEERS, time.now_ms())
     view.record_prompt_read(900)
     view.record_ended()
-    assert updates.waits
+    assert updates.has_pending
     assert updates.changed(PEERS, time.now_ms()) == []
     time.advance(peer_loads.falls_pause_ms(PEERS))
     ended = peer_loads.OwnLoad("i-1", 0, 0)
     assert updates.changed(PEERS, time.now_ms()) == [ended]
-    assert not updates.waits
+    assert not updates.has_pending
 
 
 def test_rate_of_decrease_reports_from_all_peers_is_limited() -> None:
