--- a/src/marlramp/core/peer_loads.py
+++ b/src/marlramp/core/peer_loads.py
@@ -58,7 +58,7 @@
         self._table = table
         self._reported: dict[str, dict[str, OwnLoad]] = {}
 
-    def take(self, peer: str, loads: Iterable[OwnLoad]) -> None:
+    def update(self, peer: str, loads: Iterable[OwnLoad]) -> None:
         """Applies the loads that a peer reports for some replicas."""
         reported = self._reported.setdefault(peer, {})
         for load in loads:
@@ -68,7 +68,7 @@
     def replace(self, peer: str, loads: Iterable[OwnLoad]) -> None:
         """Applies a peer's complete report, replacing its earlier loads."""
         before = self._reported.pop(peer, {})
-        self.take(peer, loads)
+        self.update(peer, loads)
         for replica_id in before.keys() - self._reported[peer].keys():
             self._update_sums(replica_id)
 
--- a/src/marlramp/direct/fleet/load_exchange.py
+++ b/src/marlramp/direct/fleet/load_exchange.py
@@ -77,7 +77,7 @@
         if message.whole:
             self._loads.replace(name, message.loads)
         else:
-            self._loads.take(name, message.loads)
+            self._loads.update(name, message.loads)
 
     def forget(self, replica_ids: list[str]) -> None:
         """Drops replicas that are gone."""
--- a/src/marlramp/experiments/overload.py
+++ b/src/marlramp/experiments/overload.py
@@ -373,7 +373,7 @@
             self.load_messages += 1
             for other in self._entries:
                 if other is not entry and other.name in mates:
-                    other.loads.take(entry.name, news)
+                    other.loads.update(entry.name, news)
         self._in(EXCHANGE_MS, lambda: self._exchange(entry))
 
 
--- a/tests/core/test_peer_loads.py
+++ b/tests/core/test_peer_loads.py
@@ -63,9 +63,9 @@
 ) -> None:
     loads = peer_loads.PeerLoads(table)
     first = best(table, engine, time.now_ms())
-    loads.take("entry-2", [peer_loads.OwnLoad(first, 1, 900)])
+    loads.update("entry-2", [peer_loads.OwnLoad(first, 1, 900)])
     assert best(table, engine, time.now_ms()) != first
-    loads.take("entry-2", [peer_loads.OwnLoad(first, 0, 0)])
+    loads.update("entry-2", [peer_loads.OwnLoad(first, 0, 0)])
     assert best(table, engine, time.now_ms()) == first
 
 
@@ -74,7 +74,7 @@
 ) -> None:
     loads = peer_loads.PeerLoads(table)
     for peer in ("entry-2", "entry-3"):
-        loads.take(peer, [peer_loads.OwnLoad("i-1", 2, 700)])
+        loads.update(peer, [peer_loads.OwnLoad("i-1", 2, 700)])
     view = table.get("i-1")
     assert view is not None
     assert (view.others_in_flight, view.others_unread) == (4, 1_400)
@@ -162,7 +162,7 @@
     assert first is not None
     assert second is not None
     loads = peer_loads.PeerLoads(table)
-    loads.take("entry-2", [peer_loads.OwnLoad("i-1", 2, 700)])
+    loads.update("entry-2", [peer_loads.OwnLoad("i-1", 2, 700)])
     second.record_sent(900, time.now_ms())
     reported = peer_loads.LoadUpdates(table).all(time.now_ms())
     assert reported == [peer_loads.OwnLoad("i-2", 1, 900)]
@@ -187,6 +187,6 @@
     now_ms = time.now_ms()
     alone_ms = upstream_choice.predicted_ms(view, wanted, now_ms)
     loads = peer_loads.PeerLoads(table)
-    loads.take("entry-2", [peer_loads.OwnLoad("i-1", 4, 4_000)])
+    loads.update("entry-2", [peer_loads.OwnLoad("i-1", 4, 4_000)])
     together_ms = upstream_choice.predicted_ms(view, wanted, now_ms)
     assert together_ms - alone_ms >= 4_000 / engine.read_tokens_per_ms
