--- a/src/marlramp/core/peer_loads.py
+++ b/src/marlramp/core/peer_loads.py
@@ -123,7 +123,7 @@
         self._reported: dict[str, OwnLoad] = {}
         self._reported_ms = float("-inf")
         self._changed: set[str] = set()
-        table.listen(self._mark_changed)
+        table.add_listener(self._mark_changed)
 
     def changed(self, peers: int, now_ms: clock.Millis) -> list[OwnLoad]:
         """Returns the changed loads to report now.
--- a/src/marlramp/core/replica_table.py
+++ b/src/marlramp/core/replica_table.py
@@ -60,7 +60,7 @@
         """Iterates over all replicas."""
         return iter(list(self._views.values()))
 
-    def listen(self, listener: Callable[[str], None]) -> None:
+    def add_listener(self, listener: Callable[[str], None]) -> None:
         """Adds a listener for changes of this entry's load at a replica.
 
         Args:
