--- a/models/replica_restart.py
+++ b/models/replica_restart.py
@@ -167,7 +167,7 @@
         if action.startswith("hear_"):
             _, born, weights = action.split("_")
             word = Word(int(born), int(weights))
-            self._table.report(_report(word), self._time.now_ms())
+            self._table.handle_report(_report(word), self._time.now_ms())
         elif action == "report_ages":
             self._time.advance(replica_view.REPORT_FRESH_MS)
         elif action == "read_list":
--- a/src/marlramp/core/replica_table.py
+++ b/src/marlramp/core/replica_table.py
@@ -107,7 +107,7 @@
         self._group_by_service()
         return removed
 
-    def report(
+    def handle_report(
         self, report: replica_view.LoadReport, now_ms: clock.Millis
     ) -> list[str]:
         """Applies an agent's report on the engine at an address.
--- a/src/marlramp/direct/fleet/entry_fleet.py
+++ b/src/marlramp/direct/fleet/entry_fleet.py
@@ -340,7 +340,7 @@
     def _on_engine(
         self, report: replica_view.LoadReport, told_ms: float
     ) -> None:
-        restarted = self._table.report(report, clock.Millis(told_ms))
+        restarted = self._table.handle_report(report, clock.Millis(told_ms))
         for replica_id in restarted:
             logs.log(
                 "replica_restarted",
--- a/src/marlramp/experiments/overload.py
+++ b/src/marlramp/experiments/overload.py
@@ -361,7 +361,7 @@
         self, entry: _Entry, report: replica_view.LoadReport
     ) -> Callable[[], None]:
         def hear() -> None:
-            entry.table.report(report, self._time.now_ms())
+            entry.table.handle_report(report, self._time.now_ms())
 
         return hear
 
--- a/tests/core/test_replica_restarts.py
+++ b/tests/core/test_replica_restarts.py
@@ -82,7 +82,7 @@
 def test_report_of_a_new_start_overrides_the_list(
     known: catalog.Catalog, table: replica_table.ReplicaTable
 ) -> None:
-    assert table.report(report(LATER_MS, 0), 20.0) == ["i-1"]
+    assert table.handle_report(report(LATER_MS, 0), 20.0) == ["i-1"]
     assert_unknown(table)
     assert table.sync(known, 21.0) == []
     late_ms = 21.0 + 2 * replica_view.REPORT_FRESH_MS
@@ -96,8 +96,8 @@
     table: replica_table.ReplicaTable,
     make_replica: MakeReplica,
 ) -> None:
-    assert table.report(report(LATER_MS, 0), 20.0) == ["i-1"]
-    assert table.report(report(EARLIER_MS, 1), 21.0) == []
+    assert table.handle_report(report(LATER_MS, 0), 20.0) == ["i-1"]
+    assert table.handle_report(report(EARLIER_MS, 1), 21.0) == []
     assert_unknown(table)
     again = make_replica(weights=0, born_ms=LATER_MS)
     known.apply([catalog.ReplicaChange(2, "i-1", again)], 22.0)
@@ -110,7 +110,7 @@
 def test_platform_that_reports_no_start_time_keeps_the_state(
     known: catalog.Catalog, table: replica_table.ReplicaTable
 ) -> None:
-    assert table.report(report(None, 1), 20.0) == []
+    assert table.handle_report(report(None, 1), 20.0) == []
     view = table.get("i-1")
     assert view is not None
     assert (view.in_flight, view.weights(20.0)) == (1, 1)
@@ -171,7 +171,7 @@
 ) -> None:
     earlier = table.get("i-1")
     assert earlier is not None
-    table.report(report(LATER_MS, 1), 1_000.0)
+    table.handle_report(report(LATER_MS, 1), 1_000.0)
     earlier.availability.note_leaving(2_000.0, 1_100.0)
     earlier.availability.note_pause(3_000.0, 0.0, 1_100.0)
     later = table.get("i-1")
