--- a/src/marlramp/core/queueing.py
+++ b/src/marlramp/core/queueing.py
@@ -139,7 +139,7 @@
         self._remove(waiting)
         return True
 
-    def expired(self, now_ms: clock.Millis) -> list[Waiting]:
+    def pop_expired(self, now_ms: clock.Millis) -> list[Waiting]:
         """Removes and returns the requests whose deadline has passed."""
         late = [
             waiting
--- a/src/marlramp/entry/dispatcher.py
+++ b/src/marlramp/entry/dispatcher.py
@@ -238,7 +238,7 @@
         """Ends late calls and starts waiting ones."""
         now_ms = self._clock.now_ms()
         for service_id, service in self._services.items():
-            for waiting in service.queue.expired(now_ms):
+            for waiting in service.queue.pop_expired(now_ms):
                 call = self._queued.pop(waiting.request_id)
                 self._fail(
                     call,
--- a/tests/core/test_queueing.py
+++ b/tests/core/test_queueing.py
@@ -86,5 +86,5 @@
     late = waiting("a", deadline_ms=5.0)
     queue.push(late)
     queue.push(waiting("a"))
-    assert queue.expired(clock.Millis(6.0)) == [late]
+    assert queue.pop_expired(clock.Millis(6.0)) == [late]
     assert len(queue) == 1
