--- a/src/marlramp/core/engine_load.py
+++ b/src/marlramp/core/engine_load.py
@@ -29,7 +29,9 @@
     pace: float = 1.0
 
 
-def pass_ms(spec: fleet.EngineSpec, running: float, context: float) -> float:
+def generation_ms(
+    spec: fleet.EngineSpec, running: float, context: float
+) -> float:
     """Returns the time for generating the tokens of one engine step.
 
     Args:
@@ -57,7 +59,9 @@
       prompt_tokens: number of tokens in the request's prompt.
       mean_run_ms: mean time for which a request holds its slot.
     """
-    step_ms = pass_ms(spec, min(load.running, spec.batch), _CONTEXT_TOKENS)
+    step_ms = generation_ms(
+        spec, min(load.running, spec.batch), _CONTEXT_TOKENS
+    )
     read_ms = (load.unread_tokens + prompt_tokens) / spec.read_tokens_per_ms
     ahead = load.running + load.waiting + 1 - spec.batch
     slot_wait_ms = max(0.0, ahead) * mean_run_ms / spec.batch
--- a/src/marlramp/experiments/overload_engine.py
+++ b/src/marlramp/experiments/overload_engine.py
@@ -85,7 +85,7 @@
         self._running.extend(self._waiting[:free])
         del self._waiting[:free]
         writing = sum(job.unread_tokens == 0 for job in self._running)
-        return self._read_ms() + engine_load.pass_ms(
+        return self._read_ms() + engine_load.generation_ms(
             self._spec, writing, CONTEXT_TOKENS
         )
 
