--- a/src/marlramp/core/admission.py
+++ b/src/marlramp/core/admission.py
@@ -21,7 +21,7 @@
 
 from marlramp import clock
 from marlramp.core import fleet
-from marlramp.core import queue_place
+from marlramp.core import queue_position
 from marlramp.core import replica_view
 from marlramp.core import upstream_choice
 
@@ -148,7 +148,7 @@
         return front
     yielding = msgspec.structs.replace(
         wanted,
-        position=queue_place.QueuePlace.BEHIND,
+        position=queue_position.QueuePosition.BEHIND,
         oldest_weights=max(wanted.oldest_weights, request.oldest_behind),
     )
     ranked_behind = upstream_choice.rank(views, yielding, places, now_ms)
--- a/src/marlramp/core/queue_place.py
+++ b/src/marlramp/core/queue_position.py
@@ -5,7 +5,7 @@
 import enum
 
 
-class QueuePlace(enum.Enum):
+class QueuePosition(enum.Enum):
     """Position of a request in an engine's queue.
 
     Attributes:
--- a/src/marlramp/core/replica_view.py
+++ b/src/marlramp/core/replica_view.py
@@ -18,7 +18,7 @@
 from marlramp.core import breaker
 from marlramp.core import fleet
 from marlramp.core import path_latency
-from marlramp.core import queue_place
+from marlramp.core import queue_position
 from marlramp.core import send_limit
 from marlramp.core import wait_bias
 
@@ -263,7 +263,7 @@
         return float(max(known, reported))
 
     def load_ahead(
-        self, place: queue_place.QueuePlace, now_ms: clock.Millis
+        self, place: queue_position.QueuePosition, now_ms: clock.Millis
     ) -> float:
         """Returns the number of requests that run before a new request.
 
@@ -279,7 +279,7 @@
           now_ms: the time.
         """
         load = self.load(now_ms)
-        if place is queue_place.QueuePlace.BEHIND:
+        if place is queue_position.QueuePosition.BEHIND:
             return load
         waiting = max(0.0, load - self.replica.slots)
         return load - waiting * self._yielding_share()
@@ -290,10 +290,10 @@
         unread = behind + self.unread + self.others_unread
         return behind / unread if unread else 0.0
 
-    def unread_ahead(self, place: queue_place.QueuePlace) -> int:
+    def unread_ahead(self, place: queue_position.QueuePosition) -> int:
         """Returns the known prompt tokens that are read before a request's."""
         front = self.unread + self.others_unread
-        if place is queue_place.QueuePlace.FRONT:
+        if place is queue_position.QueuePosition.FRONT:
             return front
         return front + self.behind_unread + self.others_behind_unread
 
@@ -310,11 +310,13 @@
         self,
         prompt_tokens: int,
         now_ms: clock.Millis,
-        place: queue_place.QueuePlace = queue_place.QueuePlace.FRONT,
+        place: queue_position.QueuePosition = (
+            queue_position.QueuePosition.FRONT
+        ),
     ) -> None:
         """Counts a request that was sent to the replica."""
         self.in_flight += 1
-        if place is queue_place.QueuePlace.BEHIND:
+        if place is queue_position.QueuePosition.BEHIND:
             self.behind += 1
             self.behind_unread += prompt_tokens
         else:
@@ -326,10 +328,12 @@
     def record_prompt_read(
         self,
         prompt_tokens: int,
-        place: queue_place.QueuePlace = queue_place.QueuePlace.FRONT,
+        place: queue_position.QueuePosition = (
+            queue_position.QueuePosition.FRONT
+        ),
     ) -> None:
         """Counts a request whose prompt was read, or that ended before."""
-        if place is queue_place.QueuePlace.BEHIND:
+        if place is queue_position.QueuePosition.BEHIND:
             self.behind = max(0, self.behind - 1)
             self.behind_unread = max(0, self.behind_unread - prompt_tokens)
         else:
@@ -414,19 +418,19 @@
         return report.closes_in_ms - (now_ms - self.reported_ms)
 
     def bias_of(
-        self, place: queue_place.QueuePlace, now_ms: clock.Millis
+        self, place: queue_position.QueuePosition, now_ms: clock.Millis
     ) -> float:
         """Returns the factor that corrects a predicted time to first event."""
         shared = self.shared_bias_of(place, now_ms)
-        if place is queue_place.QueuePlace.BEHIND:
+        if place is queue_position.QueuePosition.BEHIND:
             return shared
         return self.bias * shared
 
     def shared_bias_of(
-        self, place: queue_place.QueuePlace, now_ms: clock.Millis
+        self, place: queue_position.QueuePosition, now_ms: clock.Millis
     ) -> float:
         """Returns the correction factor over all replicas of the service."""
-        if place is queue_place.QueuePlace.BEHIND:
+        if place is queue_position.QueuePosition.BEHIND:
             return self.behind_bias.factor(now_ms)
         return max(1.0, self.front_bias.factor(now_ms))
 
--- a/src/marlramp/core/upstream_choice.py
+++ b/src/marlramp/core/upstream_choice.py
@@ -17,7 +17,7 @@
 from marlramp.core import engine_load
 from marlramp.core import fleet
 from marlramp.core import path_latency
-from marlramp.core import queue_place
+from marlramp.core import queue_position
 from marlramp.core import replica_view
 from marlramp.core import routing
 from marlramp.core import weights_gate
@@ -98,7 +98,7 @@
     events: float
     oldest_weights: int
     failed: Collection[str]
-    position: queue_place.QueuePlace = queue_place.QueuePlace.FRONT
+    position: queue_position.QueuePosition = queue_position.QueuePosition.FRONT
     isolated: bool = False
     limit_wait_max_ms: float = 0.0
     cutoffs: Sequence[weights_gate.Leave] = ()
@@ -136,7 +136,7 @@
     load: float
     load_age_ms: float
     unread_tokens: int
-    position: queue_place.QueuePlace
+    position: queue_position.QueuePosition
     weights: int = 0
     begins_until_ms: float = float("inf")
     sent_until_ms: float = float("inf")
--- a/src/marlramp/direct/calls/replica_observer.py
+++ b/src/marlramp/direct/calls/replica_observer.py
@@ -4,7 +4,7 @@
 
 from marlramp import clock
 from marlramp import errors
-from marlramp.core import queue_place
+from marlramp.core import queue_position
 from marlramp.core import replica_view
 from marlramp.core import upstream_choice
 from marlramp.direct.calls import attempts
@@ -103,7 +103,7 @@
 
     def _note_wait(self, taken_ms: float) -> None:
         now_ms = self._clock.now_ms()
-        if self._place is queue_place.QueuePlace.BEHIND:
+        if self._place is queue_position.QueuePosition.BEHIND:
             bias = self._view.behind_bias
             bias.record(taken_ms, self._unbiased_ms, now_ms)
         else:
@@ -116,7 +116,7 @@
         leave are the only sign that there is none.
         """
         waited_ms = self._clock.now_ms() - self._sent_ms
-        yielded = self._place is queue_place.QueuePlace.BEHIND
+        yielded = self._place is queue_position.QueuePosition.BEHIND
         if yielded and waited_ms > self._unbiased_ms:
             self._note_wait(waited_ms)
 
--- a/src/marlramp/direct/calls/sender.py
+++ b/src/marlramp/direct/calls/sender.py
@@ -15,7 +15,7 @@
 from marlramp.core import attempt_limits
 from marlramp.core import caller_patience
 from marlramp.core import fleet
-from marlramp.core import queue_place
+from marlramp.core import queue_position
 from marlramp.core import upstream_choice
 from marlramp.direct.calls import attempts
 from marlramp.direct.calls import call as call_module
@@ -377,11 +377,11 @@
 
 
 def _priority(
-    call: call_module.Call, place: queue_place.QueuePlace
+    call: call_module.Call, place: queue_position.QueuePosition
 ) -> int | None:
     """Returns the rank in the replica's queue, None for the default."""
     if call.relay.started:
         return RESUMED_PRIORITY
-    if place is queue_place.QueuePlace.BEHIND:
+    if place is queue_position.QueuePosition.BEHIND:
         return BEHIND_PRIORITY
     return None
--- a/src/marlramp/experiments/overload_engine.py
+++ b/src/marlramp/experiments/overload_engine.py
@@ -8,7 +8,7 @@
 
 from marlramp.core import engine_load
 from marlramp.core import fleet
-from marlramp.core import queue_place
+from marlramp.core import queue_position
 
 CHUNK_TOKENS = 2_048
 """Prompt tokens read in one pass at most; the platform's figure."""
@@ -31,7 +31,7 @@
       left: whether its caller has gone.
     """
 
-    place: queue_place.QueuePlace
+    place: queue_position.QueuePosition
     sent_ms: float
     unread_tokens: int
     events_left: int
@@ -113,4 +113,4 @@
 
 
 def _rank(job: Job) -> tuple[bool, float]:
-    return job.place is queue_place.QueuePlace.BEHIND, job.sent_ms
+    return job.place is queue_position.QueuePosition.BEHIND, job.sent_ms
--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -12,7 +12,7 @@
 from marlramp.core import availability
 from marlramp.core import breaker
 from marlramp.core import fleet
-from marlramp.core import queue_place
+from marlramp.core import queue_position
 from marlramp.core import replica_view
 from marlramp.core import send_limit
 from marlramp.core import upstream_choice
@@ -20,8 +20,8 @@
 
 MakeReplica: TypeAlias = Callable[..., fleet.Replica]
 
-FRONT = queue_place.QueuePlace.FRONT
-BEHIND = queue_place.QueuePlace.BEHIND
+FRONT = queue_position.QueuePosition.FRONT
+BEHIND = queue_position.QueuePosition.BEHIND
 
 ANYWHERE = upstream_choice.Places(frozenset())
 
@@ -53,7 +53,7 @@
 
 def place_of(
     decision: upstream_choice.Choice | admission.Refusal | None,
-) -> queue_place.QueuePlace | None:
+) -> queue_position.QueuePosition | None:
     if isinstance(decision, upstream_choice.Choice):
         return decision.position
     return None
