--- a/src/marlramp/core/upstream_choice.py
+++ b/src/marlramp/core/upstream_choice.py
@@ -20,7 +20,7 @@
 from marlramp.core import queue_position
 from marlramp.core import replica_view
 from marlramp.core import routing
-from marlramp.core import weights_gate
+from marlramp.core import version_cutoff
 
 FAILURE_WEIGHT = 4.0
 """Factor by which the share of failures lengthens the predicted time."""
@@ -101,7 +101,7 @@
     position: queue_position.QueuePosition = queue_position.QueuePosition.FRONT
     isolated: bool = False
     limit_wait_max_ms: float = 0.0
-    cutoffs: Sequence[weights_gate.Leave] = ()
+    cutoffs: Sequence[version_cutoff.VersionCutoff] = ()
 
 
 class Choice(msgspec.Struct, frozen=True):
@@ -204,7 +204,7 @@
         if weights == 0 or weights < wanted.oldest_weights:
             return False
         if wanted.cutoffs:
-            leaves_ms = weights_gate.leaves_ms(wanted.cutoffs, weights)
+            leaves_ms = version_cutoff.leaves_ms(wanted.cutoffs, weights)
             return now_ms < leaves_ms - view.latency_beyond_margin_ms(now_ms)
     return True
 
--- a/src/marlramp/core/weights_gate.py
+++ b/src/marlramp/core/version_cutoff.py
@@ -34,7 +34,7 @@
 was announced."""
 
 
-class Leave(msgspec.Struct, frozen=True):
+class VersionCutoff(msgspec.Struct, frozen=True):
     """The time from which versions older than one are sent no requests.
 
     Attributes:
@@ -50,7 +50,7 @@
 
 def leaves(
     target: catalog.KnownTarget, bound_ms: float, now_ms: clock.Millis
-) -> list[Leave]:
+) -> list[VersionCutoff]:
     """Returns the cutoffs that are still to come.
 
     `oldest_allowed` covers past cutoffs, and versions of unknown age, whose
@@ -69,11 +69,11 @@
             continue
         leaves_ms = counts_from_ms + bound_ms - QUEUE_MARGIN_MS
         if now_ms < leaves_ms:
-            coming.append(Leave(named.version, leaves_ms))
+            coming.append(VersionCutoff(named.version, leaves_ms))
     return coming
 
 
-def leaves_ms(coming: Sequence[Leave], version: int) -> float:
+def leaves_ms(coming: Sequence[VersionCutoff], version: int) -> float:
     """Returns the cutoff of a version with a low path latency.
 
     Args:
--- a/src/marlramp/direct/calls/selection.py
+++ b/src/marlramp/direct/calls/selection.py
@@ -16,7 +16,7 @@
 from marlramp.core import fleet
 from marlramp.core import replica_table
 from marlramp.core import upstream_choice
-from marlramp.core import weights_gate
+from marlramp.core import version_cutoff
 from marlramp.direct.calls import call as call_module
 from marlramp.direct.calls import named_limits
 from marlramp.settings import node
@@ -171,7 +171,7 @@
             prompt_tokens=call.said.prompt_tokens,
             events=call.expected_events(),
             oldest_weights=self._oldest_weights(
-                call.service, weights_gate.QUEUE_MARGIN_MS, now_ms
+                call.service, version_cutoff.QUEUE_MARGIN_MS, now_ms
             ),
             cutoffs=self._leaves(call.service, now_ms),
             failed=call.failed,
@@ -205,21 +205,21 @@
         bound_ms = self._version_bound_ms
         return msgspec.structs.replace(
             choice,
-            begins_until_ms=weights_gate.begins_until_ms(
+            begins_until_ms=version_cutoff.begins_until_ms(
                 target, bound_ms, choice.weights, self._started_ms
             ),
-            sent_until_ms=weights_gate.sent_until_ms(
+            sent_until_ms=version_cutoff.sent_until_ms(
                 target, bound_ms, choice.weights, self._started_ms
             ),
         )
 
     def _leaves(
         self, service: fleet.Service, now_ms: clock.Millis
-    ) -> list[weights_gate.Leave]:
+    ) -> list[version_cutoff.VersionCutoff]:
         target = self._target(service)
         if target is None:
             return []
-        return weights_gate.leaves(target, self._version_bound_ms, now_ms)
+        return version_cutoff.leaves(target, self._version_bound_ms, now_ms)
 
     def _target(self, service: fleet.Service) -> catalog.KnownTarget | None:
         if service.engine is None:
@@ -235,7 +235,7 @@
         if target is None:
             return 1
         bound_ms = self._version_bound_ms
-        return weights_gate.oldest_allowed(
+        return version_cutoff.oldest_allowed(
             target, bound_ms, self._started_ms, now_ms, wait_ms
         )
 
--- a/tests/core/test_catalog.py
+++ b/tests/core/test_catalog.py
@@ -8,7 +8,7 @@
 from marlramp.core import catalog
 from marlramp.core import event_time
 from marlramp.core import fleet
-from marlramp.core import weights_gate
+from marlramp.core import version_cutoff
 
 MakeReplica: TypeAlias = Callable[..., fleet.Replica]
 MakeConfig: TypeAlias = Callable[..., fleet.FleetConfig]
@@ -132,12 +132,12 @@
     known.apply([named(2, 3)], time.now_ms())
 
     def oldest() -> int:
-        return weights_gate.oldest_allowed(
+        return version_cutoff.oldest_allowed(
             known.targets["m"], BOUND_MS, started_ms, time.now_ms()
         )
 
     assert oldest() == 1
-    time.advance(BOUND_MS - 2_000.0 - weights_gate.QUEUE_MARGIN_MS)
+    time.advance(BOUND_MS - 2_000.0 - version_cutoff.QUEUE_MARGIN_MS)
     assert oldest() == 2
     time.advance(2_000.0)
     assert oldest() == 3
@@ -150,7 +150,7 @@
     # The news of the older one took a longer way.
     assert known.apply([named(1, 2, age_ms=500.0)], time.now_ms()) == []
     assert known.targets["m"].target.version == 3
-    time.advance(BOUND_MS - 500.0 - weights_gate.QUEUE_MARGIN_MS)
+    time.advance(BOUND_MS - 500.0 - version_cutoff.QUEUE_MARGIN_MS)
     assert oldest(known, time.now_ms()) == 2
     time.advance(500.0)
     assert oldest(known, time.now_ms()) == 3
@@ -161,8 +161,8 @@
 ) -> None:
     known.apply([named(1, 2, age_ms=None)], time.now_ms())
     started_ms = time.now_ms()
-    time.advance(weights_gate.FIRST_READ_GRACE_MS)
-    oldest = weights_gate.oldest_allowed(
+    time.advance(version_cutoff.FIRST_READ_GRACE_MS)
+    oldest = version_cutoff.oldest_allowed(
         known.targets["m"], BOUND_MS, started_ms, time.now_ms()
     )
     assert oldest == 2
@@ -170,7 +170,7 @@
 
 def oldest(known: catalog.Catalog, now_ms: clock.Millis) -> int:
     """Returns the oldest version that counts, for a process long running."""
-    return weights_gate.oldest_allowed(
+    return version_cutoff.oldest_allowed(
         known.targets["m"], BOUND_MS, started_ms=-60_000.0, now_ms=now_ms
     )
 
@@ -265,9 +265,9 @@
 ) -> None:
     known.apply([named(1, 2), named(2, 3)], time.now_ms())
     target = known.targets["m"]
-    ends_ms = weights_gate.begins_until_ms(target, BOUND_MS, 1)
-    assert ends_ms == time.now_ms() + BOUND_MS - weights_gate.LEAVE_MARGIN_MS
-    ends_ms = weights_gate.begins_until_ms(target, BOUND_MS, 3)
+    ends_ms = version_cutoff.begins_until_ms(target, BOUND_MS, 1)
+    assert ends_ms == time.now_ms() + BOUND_MS - version_cutoff.LEAVE_MARGIN_MS
+    ends_ms = version_cutoff.begins_until_ms(target, BOUND_MS, 3)
     assert ends_ms == float("inf")
 
 
@@ -279,7 +279,7 @@
     started_ms = -60_000.0
     target = known.targets["m"]
     for wait_ms, expected in ((700.0, 1), (2_400.0, 2)):
-        assert expected == weights_gate.oldest_allowed(
+        assert expected == version_cutoff.oldest_allowed(
             target, BOUND_MS, started_ms, time.now_ms(), wait_ms
         )
 
--- a/tests/core/test_leaving_versions.py
+++ b/tests/core/test_version_cutoff.py
@@ -21,7 +21,7 @@
 from marlramp.core import replica_table
 from marlramp.core import replica_view
 from marlramp.core import upstream_choice
-from marlramp.core import weights_gate
+from marlramp.core import version_cutoff
 
 MakeReplica: TypeAlias = Callable[..., fleet.Replica]
 
@@ -83,10 +83,10 @@
         engine=engine,
         prompt_tokens=900,
         events=18.0,
-        oldest_weights=weights_gate.oldest_allowed(
+        oldest_weights=version_cutoff.oldest_allowed(
             target, BOUND_MS, now_ms - 60_000.0, now_ms
         ),
-        cutoffs=weights_gate.leaves(target, BOUND_MS, now_ms),
+        cutoffs=version_cutoff.leaves(target, BOUND_MS, now_ms),
         failed=(),
     )
 
@@ -103,8 +103,8 @@
     )
     return msgspec.structs.replace(
         choice,
-        begins_until_ms=weights_gate.begins_until_ms(target, BOUND_MS, 1),
-        sent_until_ms=weights_gate.sent_until_ms(target, BOUND_MS, 1),
+        begins_until_ms=version_cutoff.begins_until_ms(target, BOUND_MS, 1),
+        sent_until_ms=version_cutoff.sent_until_ms(target, BOUND_MS, 1),
     )
 
 
@@ -133,10 +133,10 @@
             # The request has as much time to begin as with a low latency.
             wait_ms = choice.withdrawal_ms(now_ms) - now_ms
             assert wait_ms > (
-                weights_gate.QUEUE_MARGIN_MS - weights_gate.LEAVE_MARGIN_MS
+                version_cutoff.QUEUE_MARGIN_MS - version_cutoff.LEAVE_MARGIN_MS
             )
         time.advance(1.0)
-    margin_ms = weights_gate.QUEUE_MARGIN_MS + max(
+    margin_ms = version_cutoff.QUEUE_MARGIN_MS + max(
         0.0, way_ms - path_latency.MARGIN_LATENCY_MS
     )
     left_ms = announced_ms + BOUND_MS - until_ms
@@ -156,7 +156,7 @@
     choice = chosen(known, view, engine, time.now_ms())
     taken_back_ms = choice.withdrawal_ms(time.now_ms())
     assert taken_back_ms == (
-        time.now_ms() + BOUND_MS - weights_gate.LEAVE_MARGIN_MS
+        time.now_ms() + BOUND_MS - version_cutoff.LEAVE_MARGIN_MS
     )
 
 
@@ -173,7 +173,7 @@
         choice = chosen(known, view, engine, time.now_ms())
         margin_ms = mandatory_ms - choice.withdrawal_ms(time.now_ms())
         assert margin_ms > least_ms + 50.0
-        assert (margin_ms == weights_gate.LEAVE_MARGIN_MS) == (
+        assert (margin_ms == version_cutoff.LEAVE_MARGIN_MS) == (
             replica_id == "i-3"
         )
 
@@ -184,7 +184,7 @@
     engine: fleet.EngineSpec,
     time: clock.ManualClock,
 ) -> None:
-    time.advance(BOUND_MS - weights_gate.QUEUE_MARGIN_MS - 100.0)
+    time.advance(BOUND_MS - version_cutoff.QUEUE_MARGIN_MS - 100.0)
     now_ms = time.now_ms()
     view_of(table, "i-1").record_latency(150.0, now_ms)
     request = wanted(known, engine, now_ms)
--- a/tests/direct/calls/test_forwarder.py
+++ b/tests/direct/calls/test_forwarder.py
@@ -9,7 +9,7 @@
 from marlramp.core import catalog
 from marlramp.core import fleet
 from marlramp.core import path_latency
-from marlramp.core import weights_gate
+from marlramp.core import version_cutoff
 from marlramp.direct.calls import forwarder
 from marlramp.shell import http1_client
 from standins import raw_http
@@ -596,7 +596,7 @@
         view.seen_weights = 1
         entry.serve_engines()
         bound_ms = conftest.SETTINGS.bounds.version_ms
-        left_ms = weights_gate.QUEUE_MARGIN_MS + 100.0
+        left_ms = version_cutoff.QUEUE_MARGIN_MS + 100.0
         entry.name_version(2, age_ms=bound_ms - left_ms)
         assert status_of(await entry.call("/stream/x", "POST")) == 503
         assert replica.seen == []
@@ -703,7 +703,7 @@
         entry.serve_engines()
         bound_ms = conftest.SETTINGS.bounds.version_ms
         # Room for a short way is left, for this one it is not.
-        left_ms = weights_gate.QUEUE_MARGIN_MS + 220.0
+        left_ms = version_cutoff.QUEUE_MARGIN_MS + 220.0
         entry.name_version(2, age_ms=bound_ms - left_ms)
         assert status_of(await entry.call("/stream/x", "POST")) == 503
         assert replica.seen == []
@@ -717,7 +717,7 @@
 ) -> None:
     """The way was short when the idle connection was opened, and is 600 ms."""
     way_ms = 600.0
-    left_ms = weights_gate.QUEUE_MARGIN_MS + 150.0
+    left_ms = version_cutoff.QUEUE_MARGIN_MS + 150.0
     connect = http1_client.connect
     begun_ms: list[float] = []
     time = clock.SystemClock()
@@ -829,7 +829,7 @@
         change = catalog.TargetChange(102, target, ages=None)
         entry.catalog.apply([change], entry.time.now_ms())
         left_ms = 500.0
-        grace_ms = weights_gate.FIRST_READ_GRACE_MS
+        grace_ms = version_cutoff.FIRST_READ_GRACE_MS
         entry.time.suspended_ms = grace_ms - left_ms
         leaves_ms = entry.time.now_ms() + left_ms
         await entry.call("/whole/x", "POST", 1_400)
