--- a/src/marlramp/core/version_cutoff.py
+++ b/src/marlramp/core/version_cutoff.py
@@ -45,7 +45,7 @@
     """
 
     version: int
-    leaves_ms: float
+    cutoff_ms: float
 
 
 def leaves(
@@ -83,7 +83,7 @@
     Returns:
       A clock reading, infinite if no cutoff applies to the version.
     """
-    ends_ms = (leave.leaves_ms for leave in coming if leave.version > version)
+    ends_ms = (leave.cutoff_ms for leave in coming if leave.version > version)
     return min(ends_ms, default=float("inf"))
 
 
