--- a/src/marlramp/core/upstream_choice.py
+++ b/src/marlramp/core/upstream_choice.py
@@ -204,7 +204,7 @@
         if weights == 0 or weights < wanted.oldest_weights:
             return False
         if wanted.cutoffs:
-            leaves_ms = version_cutoff.leaves_ms(wanted.cutoffs, weights)
+            leaves_ms = version_cutoff.cutoff_ms(wanted.cutoffs, weights)
             return now_ms < leaves_ms - view.latency_beyond_margin_ms(now_ms)
     return True
 
--- a/src/marlramp/core/version_cutoff.py
+++ b/src/marlramp/core/version_cutoff.py
@@ -67,13 +67,13 @@
         counts_from_ms = named.counts_from_ms
         if counts_from_ms is None:
             continue
-        leaves_ms = counts_from_ms + bound_ms - QUEUE_MARGIN_MS
-        if now_ms < leaves_ms:
-            coming.append(VersionCutoff(named.version, leaves_ms))
+        cutoff_ms = counts_from_ms + bound_ms - QUEUE_MARGIN_MS
+        if now_ms < cutoff_ms:
+            coming.append(VersionCutoff(named.version, cutoff_ms))
     return coming
 
 
-def leaves_ms(coming: Sequence[VersionCutoff], version: int) -> float:
+def cutoff_ms(coming: Sequence[VersionCutoff], version: int) -> float:
     """Returns the cutoff of a version with a low path latency.
 
     Args:
