--- a/src/marlramp/core/version_cutoff.py
+++ b/src/marlramp/core/version_cutoff.py
@@ -48,7 +48,7 @@
     cutoff_ms: float
 
 
-def leaves(
+def upcoming_cutoffs(
     target: catalog.KnownTarget, bound_ms: float, now_ms: clock.Millis
 ) -> list[VersionCutoff]:
     """Returns the cutoffs that are still to come.
--- a/src/marlramp/direct/calls/selection.py
+++ b/src/marlramp/direct/calls/selection.py
@@ -219,7 +219,9 @@
         target = self._target(service)
         if target is None:
             return []
-        return version_cutoff.leaves(target, self._version_bound_ms, now_ms)
+        return version_cutoff.upcoming_cutoffs(
+            target, self._version_bound_ms, now_ms
+        )
 
     def _target(self, service: fleet.Service) -> catalog.KnownTarget | None:
         if service.engine is None:
--- a/tests/core/test_version_cutoff.py
+++ b/tests/core/test_version_cutoff.py
@@ -86,7 +86,7 @@
         oldest_weights=version_cutoff.oldest_allowed(
             target, BOUND_MS, now_ms - 60_000.0, now_ms
         ),
-        cutoffs=version_cutoff.leaves(target, BOUND_MS, now_ms),
+        cutoffs=version_cutoff.upcoming_cutoffs(target, BOUND_MS, now_ms),
         failed=(),
     )
 
