--- a/src/marlramp/core/version_cutoff.py
+++ b/src/marlramp/core/version_cutoff.py
@@ -22,7 +22,7 @@
 idle where the new one is late. With a high path latency the margin grows as
 `LEAVE_MARGIN_MS` does."""
 
-LEAVE_MARGIN_MS = 60.0
+WITHDRAWAL_MARGIN_MS = 60.0
 """Least time between the withdrawal of a waiting request from a replica and the
 time from which it must not begin there. It covers a low path latency
 (`path_latency.MARGIN_LATENCY_MS`) and one engine step, and grows by the path
@@ -131,7 +131,7 @@
     See `superseded_ms` for the arguments.
     """
     mandatory_ms = superseded_ms(target, bound_ms, version, started_ms)
-    return mandatory_ms - LEAVE_MARGIN_MS
+    return mandatory_ms - WITHDRAWAL_MARGIN_MS
 
 
 def sent_until_ms(
--- a/tests/core/test_catalog.py
+++ b/tests/core/test_catalog.py
@@ -266,7 +266,10 @@
     known.apply([named(1, 2), named(2, 3)], time.now_ms())
     target = known.targets["m"]
     ends_ms = version_cutoff.begins_until_ms(target, BOUND_MS, 1)
-    assert ends_ms == time.now_ms() + BOUND_MS - version_cutoff.LEAVE_MARGIN_MS
+    assert (
+        ends_ms
+        == time.now_ms() + BOUND_MS - version_cutoff.WITHDRAWAL_MARGIN_MS
+    )
     ends_ms = version_cutoff.begins_until_ms(target, BOUND_MS, 3)
     assert ends_ms == float("inf")
 
--- a/tests/core/test_version_cutoff.py
+++ b/tests/core/test_version_cutoff.py
@@ -133,7 +133,8 @@
             # The request has as much time to begin as with a low latency.
             wait_ms = choice.withdrawal_ms(now_ms) - now_ms
             assert wait_ms > (
-                version_cutoff.QUEUE_MARGIN_MS - version_cutoff.LEAVE_MARGIN_MS
+                version_cutoff.QUEUE_MARGIN_MS
+                - version_cutoff.WITHDRAWAL_MARGIN_MS
             )
         time.advance(1.0)
     margin_ms = version_cutoff.QUEUE_MARGIN_MS + max(
@@ -156,7 +157,7 @@
     choice = chosen(known, view, engine, time.now_ms())
     taken_back_ms = choice.withdrawal_ms(time.now_ms())
     assert taken_back_ms == (
-        time.now_ms() + BOUND_MS - version_cutoff.LEAVE_MARGIN_MS
+        time.now_ms() + BOUND_MS - version_cutoff.WITHDRAWAL_MARGIN_MS
     )
 
 
@@ -173,7 +174,7 @@
         choice = chosen(known, view, engine, time.now_ms())
         margin_ms = mandatory_ms - choice.withdrawal_ms(time.now_ms())
         assert margin_ms > least_ms + 50.0
-        assert (margin_ms == version_cutoff.LEAVE_MARGIN_MS) == (
+        assert (margin_ms == version_cutoff.WITHDRAWAL_MARGIN_MS) == (
             replica_id == "i-3"
         )
 
