--- a/src/marlramp/core/admission.py
+++ b/src/marlramp/core/admission.py
@@ -77,7 +77,7 @@
         as one that has not run.
     """
 
-    wanted: upstream_choice.Wanted
+    wanted: upstream_choice.RequestNeeds
     elapsed_ms: float
     stays_ms: float
     objective_ms: float
--- a/src/marlramp/core/upstream_choice.py
+++ b/src/marlramp/core/upstream_choice.py
@@ -74,7 +74,7 @@
         return OTHER_CELL_PENALTY_MS
 
 
-class Wanted(msgspec.Struct, frozen=True, kw_only=True):
+class RequestNeeds(msgspec.Struct, frozen=True, kw_only=True):
     """What a request requires of a replica.
 
     Attributes:
@@ -169,7 +169,7 @@
 
 
 def usable(
-    view: replica_view.ReplicaView, wanted: Wanted, now_ms: clock.Millis
+    view: replica_view.ReplicaView, wanted: RequestNeeds, now_ms: clock.Millis
 ) -> bool:
     """Returns whether a replica may receive the request.
 
@@ -179,7 +179,7 @@
 
 
 def still_usable(
-    view: replica_view.ReplicaView, wanted: Wanted, now_ms: clock.Millis
+    view: replica_view.ReplicaView, wanted: RequestNeeds, now_ms: clock.Millis
 ) -> bool:
     """Returns whether a replica that was selected may still get the request.
 
@@ -190,7 +190,7 @@
 
 
 def _is_compatible(
-    view: replica_view.ReplicaView, wanted: Wanted, now_ms: clock.Millis
+    view: replica_view.ReplicaView, wanted: RequestNeeds, now_ms: clock.Millis
 ) -> bool:
     """Returns whether a replica is healthy and holds an allowed version.
 
@@ -211,7 +211,7 @@
 
 def _last_resort(
     views: Sequence[replica_view.ReplicaView],
-    wanted: Wanted,
+    wanted: RequestNeeds,
     now_ms: clock.Millis,
 ) -> list[replica_view.ReplicaView]:
     """Returns the replica to retry when this entry backs off from all of them.
@@ -235,7 +235,7 @@
 
 def predicted_ms(
     view: replica_view.ReplicaView,
-    wanted: Wanted,
+    wanted: RequestNeeds,
     now_ms: clock.Millis,
     least_ms: float = float("inf"),
 ) -> float:
@@ -269,7 +269,7 @@
 def _overrun_ms(
     choice_ms: float,
     view: replica_view.ReplicaView,
-    wanted: Wanted,
+    wanted: RequestNeeds,
     now_ms: clock.Millis,
 ) -> float:
     """Returns for how long the request would run after the replica closes.
@@ -288,7 +288,7 @@
 
 
 def limit_wait_max_ms(
-    view: replica_view.ReplicaView, wanted: Wanted, now_ms: clock.Millis
+    view: replica_view.ReplicaView, wanted: RequestNeeds, now_ms: clock.Millis
 ) -> float:
     """Returns how long a request may wait for a replica's rate limit."""
     answer_ms = predicted_ms(view, wanted, now_ms)
@@ -296,7 +296,7 @@
 
 
 def _limit_admits(
-    view: replica_view.ReplicaView, wanted: Wanted, now_ms: clock.Millis
+    view: replica_view.ReplicaView, wanted: RequestNeeds, now_ms: clock.Millis
 ) -> bool:
     """Returns whether a replica's rate limit may admit the request in time."""
     if view.limit is None:
@@ -307,7 +307,7 @@
 
 def opens_in_ms(
     views: Sequence[replica_view.ReplicaView],
-    wanted: Wanted,
+    wanted: RequestNeeds,
     now_ms: clock.Millis,
 ) -> float | None:
     """Returns the time until the first replica accepts the request.
@@ -337,7 +337,7 @@
 
 def rank(
     views: Sequence[replica_view.ReplicaView],
-    wanted: Wanted,
+    wanted: RequestNeeds,
     places: Places,
     now_ms: clock.Millis,
     rng: random.Random | None = None,
@@ -401,7 +401,7 @@
 
 
 def _cost_of(
-    choice: Choice, wanted: Wanted, places: Places, now_ms: clock.Millis
+    choice: Choice, wanted: RequestNeeds, places: Places, now_ms: clock.Millis
 ) -> _Cost:
     return _Cost(
         choice.view.replica.replica_id,
@@ -438,7 +438,7 @@
 
 def _predict(
     view: replica_view.ReplicaView,
-    wanted: Wanted,
+    wanted: RequestNeeds,
     now_ms: clock.Millis,
     least_ms: float,
 ) -> Choice:
@@ -459,7 +459,7 @@
 
 
 def _bias_of(
-    view: replica_view.ReplicaView, wanted: Wanted, now_ms: clock.Millis
+    view: replica_view.ReplicaView, wanted: RequestNeeds, now_ms: clock.Millis
 ) -> float:
     """Returns the factor that corrects a predicted time.
 
@@ -473,7 +473,7 @@
 
 
 def _time_cost_ms(
-    choice: Choice, wanted: Wanted, now_ms: clock.Millis
+    choice: Choice, wanted: RequestNeeds, now_ms: clock.Millis
 ) -> float:
     """Returns the cost of the predicted time of a request at a replica."""
     view = choice.view
--- a/src/marlramp/direct/calls/selection.py
+++ b/src/marlramp/direct/calls/selection.py
@@ -165,8 +165,8 @@
 
     def _wanted(
         self, call: call_module.Call, now_ms: clock.Millis
-    ) -> upstream_choice.Wanted:
-        return upstream_choice.Wanted(
+    ) -> upstream_choice.RequestNeeds:
+        return upstream_choice.RequestNeeds(
             engine=call.service.engine,
             prompt_tokens=call.said.prompt_tokens,
             events=call.expected_events(),
--- a/src/marlramp/experiments/overload.py
+++ b/src/marlramp/experiments/overload.py
@@ -212,7 +212,7 @@
         entry = self._rng.choice(self._entries)
         now_ms = self._time.now_ms()
         left_ms = caller.first_ms + caller.patience_ms - now_ms
-        wanted = upstream_choice.Wanted(
+        wanted = upstream_choice.RequestNeeds(
             engine=SPEC,
             prompt_tokens=caller.prompt_tokens,
             events=float(caller.events),
--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -35,7 +35,7 @@
 @pytest.fixture
 def request_(engine: fleet.EngineSpec) -> admission.Request:
     """A request of usual size from a caller that has not come before."""
-    wanted = upstream_choice.Wanted(
+    wanted = upstream_choice.RequestNeeds(
         engine=engine,
         prompt_tokens=900,
         events=18.0,
--- a/tests/core/test_direct_decisions.py
+++ b/tests/core/test_direct_decisions.py
@@ -19,7 +19,7 @@
 
 MakeReplica: TypeAlias = Callable[..., fleet.Replica]
 
-WANTED = upstream_choice.Wanted(
+WANTED = upstream_choice.RequestNeeds(
     engine=None, prompt_tokens=0, events=1.0, oldest_weights=0, failed=()
 )
 REPORT = replica_view.LoadReport(
@@ -38,7 +38,7 @@
 
 
 @pytest.fixture
-def wanted(engine: fleet.EngineSpec) -> upstream_choice.Wanted:
+def wanted(engine: fleet.EngineSpec) -> upstream_choice.RequestNeeds:
     return msgspec.structs.replace(
         WANTED, engine=engine, prompt_tokens=900, events=18.0, oldest_weights=1
     )
@@ -46,7 +46,7 @@
 
 def test_engine_without_weights_receives_no_requests(
     make_replica: MakeReplica,
-    wanted: upstream_choice.Wanted,
+    wanted: upstream_choice.RequestNeeds,
     time: clock.ManualClock,
 ) -> None:
     empty = view_of(make_replica(replica_id="i-0", weights=0))
@@ -60,7 +60,7 @@
 
 def test_engine_on_an_outdated_version_receives_no_requests(
     make_replica: MakeReplica,
-    wanted: upstream_choice.Wanted,
+    wanted: upstream_choice.RequestNeeds,
     time: clock.ManualClock,
 ) -> None:
     newer = msgspec.structs.replace(wanted, oldest_weights=2)
@@ -79,7 +79,7 @@
 
 def test_request_that_outlasts_a_closing_engine_goes_elsewhere(
     make_replica: MakeReplica,
-    wanted: upstream_choice.Wanted,
+    wanted: upstream_choice.RequestNeeds,
     time: clock.ManualClock,
 ) -> None:
     closing = view_of(make_replica(replica_id="i-0"))
--- a/tests/core/test_peer_loads.py
+++ b/tests/core/test_peer_loads.py
@@ -45,7 +45,7 @@
     engine: fleet.EngineSpec,
     now_ms: clock.Millis,
 ) -> str:
-    wanted = upstream_choice.Wanted(
+    wanted = upstream_choice.RequestNeeds(
         engine=engine,
         prompt_tokens=900,
         events=18.0,
@@ -177,7 +177,7 @@
 ) -> None:
     view = table.get("i-1")
     assert view is not None
-    wanted = upstream_choice.Wanted(
+    wanted = upstream_choice.RequestNeeds(
         engine=engine,
         prompt_tokens=900,
         events=18.0,
--- a/tests/core/test_version_cutoff.py
+++ b/tests/core/test_version_cutoff.py
@@ -77,9 +77,9 @@
 
 def wanted(
     known: catalog.Catalog, engine: fleet.EngineSpec, now_ms: clock.Millis
-) -> upstream_choice.Wanted:
+) -> upstream_choice.RequestNeeds:
     target = known.targets["m"]
-    return upstream_choice.Wanted(
+    return upstream_choice.RequestNeeds(
         engine=engine,
         prompt_tokens=900,
         events=18.0,
--- a/tests/direct/fleet/limited_fleet.py
+++ b/tests/direct/fleet/limited_fleet.py
@@ -141,7 +141,7 @@
             now_ms = self.virtual.now_ms()
             left_ms = OBJECTIVE_MS - (now_ms - started_ms)
             request = admission.Request(
-                wanted=upstream_choice.Wanted(
+                wanted=upstream_choice.RequestNeeds(
                     engine=None,
                     prompt_tokens=0,
                     events=1.0,
