--- a/src/marlramp/core/admission.py
+++ b/src/marlramp/core/admission.py
@@ -112,7 +112,7 @@
 def decide(
     views: Sequence[replica_view.ReplicaView],
     request: Request,
-    places: upstream_choice.Places,
+    places: upstream_choice.PreferredLocations,
     now_ms: clock.Millis,
     rng: random.Random,
 ) -> upstream_choice.Choice | Refusal | None:
--- a/src/marlramp/core/upstream_choice.py
+++ b/src/marlramp/core/upstream_choice.py
@@ -48,7 +48,7 @@
 replica with the fewest requests. It outweighs any difference in time."""
 
 
-class Places(msgspec.Struct, frozen=True):
+class PreferredLocations(msgspec.Struct, frozen=True):
     """The locations that an entry prefers.
 
     Attributes:
@@ -338,7 +338,7 @@
 def rank(
     views: Sequence[replica_view.ReplicaView],
     wanted: RequestNeeds,
-    places: Places,
+    places: PreferredLocations,
     now_ms: clock.Millis,
     rng: random.Random | None = None,
 ) -> list[Choice]:
@@ -401,7 +401,10 @@
 
 
 def _cost_of(
-    choice: Choice, wanted: RequestNeeds, places: Places, now_ms: clock.Millis
+    choice: Choice,
+    wanted: RequestNeeds,
+    places: PreferredLocations,
+    now_ms: clock.Millis,
 ) -> _Cost:
     return _Cost(
         choice.view.replica.replica_id,
--- a/src/marlramp/direct/calls/selection.py
+++ b/src/marlramp/direct/calls/selection.py
@@ -72,7 +72,9 @@
         self._started_ms = time.now_ms()
         self._rng = random.Random()
         self._version_bound_ms = settings.bounds.version_ms
-        self._places = upstream_choice.Places(settings.near_data_centres)
+        self._places = upstream_choice.PreferredLocations(
+            settings.near_data_centres
+        )
 
     def set_settings(self, settings: node.NodeSettings) -> None:
         """Takes changed bounds."""
@@ -81,7 +83,9 @@
     def set_cell(self, hosts: Collection[str]) -> None:
         """Takes the addresses of the VMs whose engines belong to the cell."""
         near = self._places.near
-        self._places = upstream_choice.Places(near, frozenset(hosts))
+        self._places = upstream_choice.PreferredLocations(
+            near, frozenset(hosts)
+        )
 
     async def choose(self, call: call_module.Call) -> upstream_choice.Choice:
         """Returns the best replica, waiting a little while none is open.
--- a/src/marlramp/experiments/overload.py
+++ b/src/marlramp/experiments/overload.py
@@ -96,7 +96,7 @@
         self.loads = peer_loads.PeerLoads(self.table)
         self.news = peer_loads.LoadUpdates(self.table)
         self.waits = caller_waits.CallerWaits(TIMEOUT_MS)
-        self.places = upstream_choice.Places({_data_centre(region)})
+        self.places = upstream_choice.PreferredLocations({_data_centre(region)})
 
 
 def _data_centre(region: int) -> str:
--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -23,7 +23,7 @@
 FRONT = queue_position.QueuePosition.FRONT
 BEHIND = queue_position.QueuePosition.BEHIND
 
-ANYWHERE = upstream_choice.Places(frozenset())
+ANYWHERE = upstream_choice.PreferredLocations(frozenset())
 
 
 @pytest.fixture
@@ -193,7 +193,9 @@
         make_replica(replica_id="i-1", address="10.0.0.2:1"),
         breaker.Breaker(3, 1_500.0),
     )
-    places = upstream_choice.Places({own.replica.data_centre}, {"10.0.0.1"})
+    places = upstream_choice.PreferredLocations(
+        {own.replica.data_centre}, {"10.0.0.1"}
+    )
 
     def chosen() -> str:
         choice = admission.decide(
@@ -216,7 +218,7 @@
     far = replica_view.ReplicaView(
         make_replica(address="10.0.0.2:1"), breaker.Breaker(3, 1_500.0)
     )
-    places = upstream_choice.Places({"elsewhere"}, {"10.0.0.1"})
+    places = upstream_choice.PreferredLocations({"elsewhere"}, {"10.0.0.1"})
     choice = admission.decide(
         [far], request_, places, time.now_ms(), random.Random(1)
     )
--- a/tests/core/test_direct_decisions.py
+++ b/tests/core/test_direct_decisions.py
@@ -26,7 +26,7 @@
     address="127.0.0.1:1", weights=1, running=0, waiting=0, pace=1.0, opens=True
 )
 
-ANYWHERE = upstream_choice.Places(frozenset())
+ANYWHERE = upstream_choice.PreferredLocations(frozenset())
 
 
 def view_of(replica: fleet.Replica) -> replica_view.ReplicaView:
--- a/tests/core/test_peer_loads.py
+++ b/tests/core/test_peer_loads.py
@@ -17,7 +17,7 @@
 PEERS = 15
 """Number of other entries in a full cell."""
 
-ANYWHERE = upstream_choice.Places(frozenset())
+ANYWHERE = upstream_choice.PreferredLocations(frozenset())
 
 
 @pytest.fixture
--- a/tests/core/test_version_cutoff.py
+++ b/tests/core/test_version_cutoff.py
@@ -26,7 +26,7 @@
 MakeReplica: TypeAlias = Callable[..., fleet.Replica]
 
 BOUND_MS = 8_000.0
-ANYWHERE = upstream_choice.Places(frozenset())
+ANYWHERE = upstream_choice.PreferredLocations(frozenset())
 
 
 @pytest.fixture
--- a/tests/direct/fleet/limited_fleet.py
+++ b/tests/direct/fleet/limited_fleet.py
@@ -153,7 +153,9 @@
                 stays_ms=2_000.0,
                 objective_ms=OBJECTIVE_MS,
             )
-            places = upstream_choice.Places({entry.member.data_centre})
+            places = upstream_choice.PreferredLocations(
+                {entry.member.data_centre}
+            )
             views = entry.table.of(SERVICE)
             choice = admission.decide(views, request, places, now_ms, self.rng)
             if not isinstance(choice, upstream_choice.Choice):
