--- a/src/marlramp/core/queueing.py
+++ b/src/marlramp/core/queueing.py
@@ -20,7 +20,7 @@
     HIGH = 2
 
 
-class Waiting(msgspec.Struct, frozen=True):
+class WaitingRequest(msgspec.Struct, frozen=True):
     """A request that waits for a grant.
 
     Attributes:
@@ -58,7 +58,7 @@
         """
         self.length_max = length_max
         self._lanes: dict[
-            tuple[Priority, ids.CustomerId], collections.deque[Waiting]
+            tuple[Priority, ids.CustomerId], collections.deque[WaitingRequest]
         ] = {}
         self._virtual: dict[ids.CustomerId, float] = {}
         self._virtual_now = 0.0
@@ -70,7 +70,7 @@
 
     def ahead(
         self, priority: Priority, customer_id: ids.CustomerId
-    ) -> list[Waiting]:
+    ) -> list[WaitingRequest]:
         """Estimates which requests would be served before a new request.
 
         These are all requests of higher priority, the customer's own requests
@@ -78,7 +78,7 @@
         requests of equal priority.
         """
         own = self._lanes.get((priority, customer_id), ())
-        found: list[Waiting] = []
+        found: list[WaitingRequest] = []
         for (other_priority, other_id), lane in self._lanes.items():
             if other_priority > priority or other_id == customer_id:
                 count = len(lane) if other_priority >= priority else 0
@@ -89,7 +89,7 @@
             found.extend(itertools.islice(lane, count))
         return found
 
-    def push(self, waiting: Waiting) -> Waiting | None:
+    def push(self, waiting: WaitingRequest) -> WaitingRequest | None:
         """Adds a request.
 
         Returns:
@@ -109,7 +109,7 @@
         self._length += 1
         return displaced
 
-    def pop(self) -> Waiting | None:
+    def pop(self) -> WaitingRequest | None:
         """Removes and returns the request to serve next, None if empty."""
         if not self._lanes:
             return None
@@ -124,14 +124,14 @@
         self._virtual[customer_id] += waiting.cost
         return waiting
 
-    def push_front(self, waiting: Waiting) -> None:
+    def push_front(self, waiting: WaitingRequest) -> None:
         """Puts back a popped request that could not be started."""
         key = (waiting.priority, waiting.customer_id)
         self._lanes.setdefault(key, collections.deque()).appendleft(waiting)
         self._length += 1
         self._virtual[waiting.customer_id] -= waiting.cost
 
-    def remove(self, waiting: Waiting) -> bool:
+    def remove(self, waiting: WaitingRequest) -> bool:
         """Removes a request; returns whether it was waiting."""
         lane = self._lanes.get((waiting.priority, waiting.customer_id))
         if lane is None or waiting not in lane:
@@ -139,7 +139,7 @@
         self._remove(waiting)
         return True
 
-    def pop_expired(self, now_ms: clock.Millis) -> list[Waiting]:
+    def pop_expired(self, now_ms: clock.Millis) -> list[WaitingRequest]:
         """Removes and returns the requests whose deadline has passed."""
         late = [
             waiting
@@ -151,7 +151,7 @@
             self._remove(waiting)
         return late
 
-    def _displace(self, newcomer: Waiting) -> Waiting:
+    def _displace(self, newcomer: WaitingRequest) -> WaitingRequest:
         counts: collections.Counter[ids.CustomerId] = collections.Counter()
         for (_, customer), lane in self._lanes.items():
             counts[customer] += len(lane)
@@ -171,7 +171,7 @@
         self._remove(displaced)
         return displaced
 
-    def _remove(self, waiting: Waiting) -> None:
+    def _remove(self, waiting: WaitingRequest) -> None:
         key = (waiting.priority, waiting.customer_id)
         lane = self._lanes[key]
         lane.remove(waiting)
--- a/src/marlramp/entry/call.py
+++ b/src/marlramp/entry/call.py
@@ -36,7 +36,7 @@
     def __init__(
         self,
         state: calls.CallState,
-        waiting: queueing.Waiting,
+        waiting: queueing.WaitingRequest,
         token: run_tokens.RunToken | None,
         admitted_ms: float,
     ) -> None:
--- a/src/marlramp/entry/dispatcher.py
+++ b/src/marlramp/entry/dispatcher.py
@@ -132,7 +132,7 @@
         state = calls.CallState(
             spec, values.retries_max, float(values.retry_backoff_ms)
         )
-        waiting = queueing.Waiting(
+        waiting = queueing.WaitingRequest(
             self._questions.new_id(),
             spec.customer_id,
             spec.service_id,
--- a/tests/core/test_queueing.py
+++ b/tests/core/test_queueing.py
@@ -16,8 +16,8 @@
     priority: queueing.Priority = queueing.Priority.NORMAL,
     cost: float = 1.0,
     deadline_ms: float = 1e9,
-) -> queueing.Waiting:
-    return queueing.Waiting(
+) -> queueing.WaitingRequest:
+    return queueing.WaitingRequest(
         ids.RequestId(str(next(_numbers))),
         ids.CustomerId(customer),
         ids.ServiceId("pool"),
