--- a/src/marlramp/core/replica_view.py
+++ b/src/marlramp/core/replica_view.py
@@ -166,8 +166,8 @@
         was.
       limit: the rate limit that the replica announced for all entries
         together, None if it announced none.
-      ways: latency of the path to the replica.
-      centre_ways: path latency over all replicas of the replica's data centre.
+      latency: latency of the path to the replica.
+      centre_latency: path latency over all replicas of the data centre.
     """
 
     replica: fleet.Replica
@@ -263,7 +263,7 @@
         return float(max(known, reported))
 
     def load_ahead(
-        self, place: queue_position.QueuePosition, now_ms: clock.Millis
+        self, position: queue_position.QueuePosition, now_ms: clock.Millis
     ) -> float:
         """Returns the number of requests that run before a new request.
 
@@ -275,11 +275,11 @@
         could begin in time were classed as late.
 
         Args:
-          place: position of the new request in the engine's queue.
+          position: position of the new request in the engine's queue.
           now_ms: the time.
         """
         load = self.load(now_ms)
-        if place is queue_position.QueuePosition.BEHIND:
+        if position is queue_position.QueuePosition.BEHIND:
             return load
         waiting = max(0.0, load - self.replica.slots)
         return load - waiting * self._yielding_share()
@@ -290,10 +290,10 @@
         unread = behind + self.unread + self.others_unread
         return behind / unread if unread else 0.0
 
-    def unread_ahead(self, place: queue_position.QueuePosition) -> int:
+    def unread_ahead(self, position: queue_position.QueuePosition) -> int:
         """Returns the known prompt tokens that are read before a request's."""
         front = self.unread + self.others_unread
-        if place is queue_position.QueuePosition.FRONT:
+        if position is queue_position.QueuePosition.FRONT:
             return front
         return front + self.behind_unread + self.others_behind_unread
 
@@ -310,13 +310,13 @@
         self,
         prompt_tokens: int,
         now_ms: clock.Millis,
-        place: queue_position.QueuePosition = (
+        position: queue_position.QueuePosition = (
             queue_position.QueuePosition.FRONT
         ),
     ) -> None:
         """Counts a request that was sent to the replica."""
         self.in_flight += 1
-        if place is queue_position.QueuePosition.BEHIND:
+        if position is queue_position.QueuePosition.BEHIND:
             self.behind += 1
             self.behind_unread += prompt_tokens
         else:
@@ -328,12 +328,12 @@
     def record_prompt_read(
         self,
         prompt_tokens: int,
-        place: queue_position.QueuePosition = (
+        position: queue_position.QueuePosition = (
             queue_position.QueuePosition.FRONT
         ),
     ) -> None:
         """Counts a request whose prompt was read, or that ended before."""
-        if place is queue_position.QueuePosition.BEHIND:
+        if position is queue_position.QueuePosition.BEHIND:
             self.behind = max(0, self.behind - 1)
             self.behind_unread = max(0, self.behind_unread - prompt_tokens)
         else:
@@ -374,17 +374,17 @@
         confidence = recent / (recent + ANSWERS_HALF_CONFIDENCE)
         return least_ms + confidence * max(0.0, self.answer_ms - least_ms)
 
-    def record_latency(self, way_ms: float, now_ms: clock.Millis) -> None:
+    def record_latency(self, latency_ms: float, now_ms: clock.Millis) -> None:
         """Records the time that opening a connection to the replica took."""
-        self.latency.record(way_ms, now_ms)
-        self.centre_latency.record(way_ms, now_ms)
+        self.latency.record(latency_ms, now_ms)
+        self.centre_latency.record(latency_ms, now_ms)
 
     def record_latency_at_least(
-        self, way_ms: float, now_ms: clock.Millis
+        self, latency_ms: float, now_ms: clock.Millis
     ) -> None:
         """Records the time spent so far on opening an unfinished connection."""
-        self.latency.record_at_least(way_ms, now_ms)
-        self.centre_latency.record_at_least(way_ms, now_ms)
+        self.latency.record_at_least(latency_ms, now_ms)
+        self.centre_latency.record_at_least(latency_ms, now_ms)
 
     def path_latency_ms(self, now_ms: clock.Millis) -> float:
         """Returns the path latency to the replica to allow for, 0 if unknown.
@@ -418,19 +418,19 @@
         return report.closes_in_ms - (now_ms - self.reported_ms)
 
     def bias_of(
-        self, place: queue_position.QueuePosition, now_ms: clock.Millis
+        self, position: queue_position.QueuePosition, now_ms: clock.Millis
     ) -> float:
         """Returns the factor that corrects a predicted time to first event."""
-        shared = self.shared_bias_of(place, now_ms)
-        if place is queue_position.QueuePosition.BEHIND:
+        shared = self.shared_bias_of(position, now_ms)
+        if position is queue_position.QueuePosition.BEHIND:
             return shared
         return self.bias * shared
 
     def shared_bias_of(
-        self, place: queue_position.QueuePosition, now_ms: clock.Millis
+        self, position: queue_position.QueuePosition, now_ms: clock.Millis
     ) -> float:
         """Returns the correction factor over all replicas of the service."""
-        if place is queue_position.QueuePosition.BEHIND:
+        if position is queue_position.QueuePosition.BEHIND:
             return self.behind_bias.factor(now_ms)
         return max(1.0, self.front_bias.factor(now_ms))
 
--- a/src/marlramp/core/upstream_choice.py
+++ b/src/marlramp/core/upstream_choice.py
@@ -82,13 +82,13 @@
       prompt_tokens: number of tokens in the prompt.
       events: expected number of events in the answer.
       oldest_weights: oldest version that the request may begin on.
-      leaves: the times until which replicas that hold older versions may be
+      cutoffs: the times until which replicas that hold older versions may be
         sent the request; for a replica with a high path latency the time is
         earlier.
       failed: ids of the replicas at which this request has failed already.
-      place: position in the engine's queue.
-      alone: whether the request goes to the replica with the fewest requests,
-        because it may crash the replica.
+      position: position in the engine's queue.
+      isolated: whether the request goes to the replica with the fewest
+        requests, because it may crash the replica.
       limit_wait_max_ms: longest delay of the answer that the rate limits of
         replicas may cause.
     """
@@ -116,7 +116,7 @@
       load_age_ms: age of the last load report, infinite without one.
       unread_tokens: prompt tokens at the replica that are read before those of
         the request.
-      place: position in the engine's queue.
+      position: position in the engine's queue.
       weights: version that the replica was believed to hold.
       begins_until_ms: clock reading at which the request is withdrawn from a
         replica with a low path latency if it has not begun there.
@@ -169,28 +169,28 @@
 
 
 def usable(
-    view: replica_view.ReplicaView, wanted: RequestNeeds, now_ms: clock.Millis
+    view: replica_view.ReplicaView, needs: RequestNeeds, now_ms: clock.Millis
 ) -> bool:
     """Returns whether a replica may receive the request.
 
     The replica's rate limit isn't considered.
     """
-    return _is_compatible(view, wanted, now_ms) and view.accepts_new(now_ms)
+    return _is_compatible(view, needs, now_ms) and view.accepts_new(now_ms)
 
 
 def still_usable(
-    view: replica_view.ReplicaView, wanted: RequestNeeds, now_ms: clock.Millis
+    view: replica_view.ReplicaView, needs: RequestNeeds, now_ms: clock.Millis
 ) -> bool:
     """Returns whether a replica that was selected may still get the request.
 
     Backoffs and trials after the selection are ignored.
     """
     open_now = view.accepts_assigned(now_ms) and view.is_reported_open(now_ms)
-    return open_now and _is_compatible(view, wanted, now_ms)
+    return open_now and _is_compatible(view, needs, now_ms)
 
 
 def _is_compatible(
-    view: replica_view.ReplicaView, wanted: RequestNeeds, now_ms: clock.Millis
+    view: replica_view.ReplicaView, needs: RequestNeeds, now_ms: clock.Millis
 ) -> bool:
     """Returns whether a replica is healthy and holds an allowed version.
 
@@ -199,19 +199,19 @@
     """
     if view.replica.state is not fleet.ReplicaState.HEALTHY:
         return False
-    if wanted.engine is not None:
+    if needs.engine is not None:
         weights = view.weights(now_ms)
-        if weights == 0 or weights < wanted.oldest_weights:
+        if weights == 0 or weights < needs.oldest_weights:
             return False
-        if wanted.cutoffs:
-            leaves_ms = version_cutoff.cutoff_ms(wanted.cutoffs, weights)
-            return now_ms < leaves_ms - view.latency_beyond_margin_ms(now_ms)
+        if needs.cutoffs:
+            cutoff_ms = version_cutoff.cutoff_ms(needs.cutoffs, weights)
+            return now_ms < cutoff_ms - view.latency_beyond_margin_ms(now_ms)
     return True
 
 
 def _last_resort(
     views: Sequence[replica_view.ReplicaView],
-    wanted: RequestNeeds,
+    needs: RequestNeeds,
     now_ms: clock.Millis,
 ) -> list[replica_view.ReplicaView]:
     """Returns the replica to retry when this entry backs off from all of them.
@@ -222,9 +222,9 @@
     backing_off = [
         view
         for view in views
-        if view.replica.replica_id not in wanted.failed
+        if view.replica.replica_id not in needs.failed
         and view.availability.is_backing_off(now_ms)
-        and _is_compatible(view, wanted, now_ms)
+        and _is_compatible(view, needs, now_ms)
         and view.is_reported_open(now_ms)
     ]
     if any(view.availability.in_trial(now_ms) for view in backing_off):
@@ -235,7 +235,7 @@
 
 def predicted_ms(
     view: replica_view.ReplicaView,
-    wanted: RequestNeeds,
+    needs: RequestNeeds,
     now_ms: clock.Millis,
     least_ms: float = float("inf"),
 ) -> float:
@@ -243,33 +243,33 @@
 
     Args:
       view: the replica.
-      wanted: what the request requires.
+      needs: what the request requires.
       now_ms: the time.
       least_ms: least smoothed answer time of the plain replicas that may
         receive the request.
     """
-    if wanted.engine is None:
+    if needs.engine is None:
         least_ms = min(least_ms, view.answer_ms)
         answer_ms = view.likely_answer_ms(least_ms, now_ms)
         ahead = max(0.0, view.load(now_ms) + 1 - view.replica.slots)
         return answer_ms * (1.0 + ahead / max(1, view.replica.slots))
-    load = view.load_ahead(wanted.position, now_ms)
-    slots = wanted.engine.batch
+    load = view.load_ahead(needs.position, now_ms)
+    slots = needs.engine.batch
     believed = engine_load.EngineLoad(
         running=min(load, slots),
         waiting=max(0.0, load - slots),
-        unread_tokens=view.unread_ahead(wanted.position),
+        unread_tokens=view.unread_ahead(needs.position),
         pace=1.0 if view.report is None else max(1.0, view.report.pace),
     )
     return engine_load.first_token_ms(
-        wanted.engine, believed, wanted.prompt_tokens, view.run_ms
+        needs.engine, believed, needs.prompt_tokens, view.run_ms
     )
 
 
 def _overrun_ms(
     choice_ms: float,
     view: replica_view.ReplicaView,
-    wanted: RequestNeeds,
+    needs: RequestNeeds,
     now_ms: clock.Millis,
 ) -> float:
     """Returns for how long the request would run after the replica closes.
@@ -280,34 +280,34 @@
     Args:
       choice_ms: predicted time to the first event.
       view: the replica.
-      wanted: what the request requires.
+      needs: what the request requires.
       now_ms: the time.
     """
-    run_ms = choice_ms + wanted.events * view.event_ms
+    run_ms = choice_ms + needs.events * view.event_ms
     return max(0.0, run_ms - view.closes_in_ms(now_ms))
 
 
 def limit_wait_max_ms(
-    view: replica_view.ReplicaView, wanted: RequestNeeds, now_ms: clock.Millis
+    view: replica_view.ReplicaView, needs: RequestNeeds, now_ms: clock.Millis
 ) -> float:
     """Returns how long a request may wait for a replica's rate limit."""
-    answer_ms = predicted_ms(view, wanted, now_ms)
-    return max(0.0, wanted.limit_wait_max_ms - answer_ms)
+    answer_ms = predicted_ms(view, needs, now_ms)
+    return max(0.0, needs.limit_wait_max_ms - answer_ms)
 
 
 def _limit_admits(
-    view: replica_view.ReplicaView, wanted: RequestNeeds, now_ms: clock.Millis
+    view: replica_view.ReplicaView, needs: RequestNeeds, now_ms: clock.Millis
 ) -> bool:
     """Returns whether a replica's rate limit may admit the request in time."""
     if view.limit is None:
         return True
-    wait_max_ms = limit_wait_max_ms(view, wanted, now_ms)
+    wait_max_ms = limit_wait_max_ms(view, needs, now_ms)
     return view.limit.opens(now_ms, wait_max_ms)
 
 
 def opens_in_ms(
     views: Sequence[replica_view.ReplicaView],
-    wanted: RequestNeeds,
+    needs: RequestNeeds,
     now_ms: clock.Millis,
 ) -> float | None:
     """Returns the time until the first replica accepts the request.
@@ -321,7 +321,7 @@
     """
     waits_ms = []
     for view in views:
-        if view.replica.replica_id in wanted.failed:
+        if view.replica.replica_id in needs.failed:
             continue
         if view.replica.state is not fleet.ReplicaState.HEALTHY:
             continue
@@ -330,15 +330,15 @@
             waits_ms.append(closed_ms)
         elif view.limit is None:
             return None
-        elif usable(view, wanted, now_ms) and view.breaker.allows(now_ms):
+        elif usable(view, needs, now_ms) and view.breaker.allows(now_ms):
             waits_ms.append(view.limit_wait_ms(now_ms))
     return min(waits_ms, default=None)
 
 
 def rank(
     views: Sequence[replica_view.ReplicaView],
-    wanted: RequestNeeds,
-    places: PreferredLocations,
+    needs: RequestNeeds,
+    locations: PreferredLocations,
     now_ms: clock.Millis,
     rng: random.Random | None = None,
 ) -> list[Choice]:
@@ -349,27 +349,27 @@
 
     Args:
       views: replicas of the service.
-      wanted: what the request requires.
-      places: the locations that the entry prefers.
+      needs: what the request requires.
+      locations: the locations that the entry prefers.
       now_ms: the time.
       rng: spreads requests over plain replicas of nearly equal cost; None to
         rank by cost alone.
     """
-    able = [view for view in views if usable(view, wanted, now_ms)]
-    able = able or _last_resort(views, wanted, now_ms)
+    able = [view for view in views if usable(view, needs, now_ms)]
+    able = able or _last_resort(views, needs, now_ms)
     # Rate limits apply even when breakers are ignored below.
-    able = [view for view in able if _limit_admits(view, wanted, now_ms)]
+    able = [view for view in able if _limit_admits(view, needs, now_ms)]
     allowed = [view for view in able if view.breaker.allows(now_ms)]
     if routing.panics(len(allowed), len(able)):
         allowed = able
-    fresh = [v for v in allowed if v.replica.replica_id not in wanted.failed]
+    fresh = [v for v in allowed if v.replica.replica_id not in needs.failed]
     # Draining replicas serve until their drain time ends if no other is left.
     fresh = [v for v in fresh if not v.availability.is_leaving] or fresh
     least_ms = min((view.answer_ms for view in fresh), default=0.0)
-    choices = [_predict(view, wanted, now_ms, least_ms) for view in fresh]
-    costs = [_cost_of(choice, wanted, places, now_ms) for choice in choices]
+    choices = [_predict(view, needs, now_ms, least_ms) for view in fresh]
+    costs = [_cost_of(choice, needs, locations, now_ms) for choice in choices]
     costs.sort(key=lambda cost: (cost.total_ms, cost.replica_id))
-    if rng is None or wanted.engine is not None:
+    if rng is None or needs.engine is not None:
         return [cost.choice for cost in costs]
     near: list[Choice] = []
     others: list[Choice] = []
@@ -402,14 +402,14 @@
 
 def _cost_of(
     choice: Choice,
-    wanted: RequestNeeds,
-    places: PreferredLocations,
+    needs: RequestNeeds,
+    locations: PreferredLocations,
     now_ms: clock.Millis,
 ) -> _Cost:
     return _Cost(
         choice.view.replica.replica_id,
-        _time_cost_ms(choice, wanted, now_ms),
-        places.penalty_ms(choice.view),
+        _time_cost_ms(choice, needs, now_ms),
+        locations.penalty_ms(choice.view),
         choice,
     )
 
@@ -441,28 +441,28 @@
 
 def _predict(
     view: replica_view.ReplicaView,
-    wanted: RequestNeeds,
+    needs: RequestNeeds,
     now_ms: clock.Millis,
     least_ms: float,
 ) -> Choice:
     """Returns the prediction for a request at one replica."""
-    unbiased_ms = predicted_ms(view, wanted, now_ms, least_ms)
-    time_ms = unbiased_ms * _bias_of(view, wanted, now_ms)
+    unbiased_ms = predicted_ms(view, needs, now_ms, least_ms)
+    time_ms = unbiased_ms * _bias_of(view, needs, now_ms)
     return Choice(
         view,
         time_ms + view.limit_wait_ms(now_ms),
         unbiased_ms,
         load=view.load(now_ms),
         load_age_ms=now_ms - view.load_ms,
-        unread_tokens=view.unread_ahead(wanted.position),
-        position=wanted.position,
+        unread_tokens=view.unread_ahead(needs.position),
+        position=needs.position,
         limit_per_s=None if view.limit is None else view.limit.per_s,
-        limit_wait_max_ms=limit_wait_max_ms(view, wanted, now_ms),
+        limit_wait_max_ms=limit_wait_max_ms(view, needs, now_ms),
     )
 
 
 def _bias_of(
-    view: replica_view.ReplicaView, wanted: RequestNeeds, now_ms: clock.Millis
+    view: replica_view.ReplicaView, needs: RequestNeeds, now_ms: clock.Millis
 ) -> float:
     """Returns the factor that corrects a predicted time.
 
@@ -470,13 +470,13 @@
     that replica would count the measurement twice, so only the factor that all
     replicas share applies.
     """
-    if wanted.engine is None:
-        return view.shared_bias_of(wanted.position, now_ms)
-    return view.bias_of(wanted.position, now_ms)
+    if needs.engine is None:
+        return view.shared_bias_of(needs.position, now_ms)
+    return view.bias_of(needs.position, now_ms)
 
 
 def _time_cost_ms(
-    choice: Choice, wanted: RequestNeeds, now_ms: clock.Millis
+    choice: Choice, needs: RequestNeeds, now_ms: clock.Millis
 ) -> float:
     """Returns the cost of the predicted time of a request at a replica."""
     view = choice.view
@@ -485,8 +485,8 @@
         now_ms
     )
     cost_ms *= 1.0 + FAILURE_WEIGHT * failed_share
-    over_ms = _overrun_ms(choice.predicted_ms, view, wanted, now_ms)
+    over_ms = _overrun_ms(choice.predicted_ms, view, needs, now_ms)
     cost_ms += OVERRUN_WEIGHT * over_ms
-    if wanted.isolated:
+    if needs.isolated:
         cost_ms += ISOLATION_COST_MS * choice.load
     return cost_ms
--- a/src/marlramp/core/version_cutoff.py
+++ b/src/marlramp/core/version_cutoff.py
@@ -20,7 +20,7 @@
 The few requests that wait longer are withdrawn before the new version becomes
 mandatory. With a larger margin an old version that may still serve would stand
 idle where the new one is late. With a high path latency the margin grows as
-`LEAVE_MARGIN_MS` does."""
+`WITHDRAWAL_MARGIN_MS` does."""
 
 WITHDRAWAL_MARGIN_MS = 60.0
 """Least time between the withdrawal of a waiting request from a replica and the
@@ -67,9 +67,9 @@
         counts_from_ms = named.counts_from_ms
         if counts_from_ms is None:
             continue
-        cutoff_ms = counts_from_ms + bound_ms - QUEUE_MARGIN_MS
-        if now_ms < cutoff_ms:
-            coming.append(VersionCutoff(named.version, cutoff_ms))
+        until_ms = counts_from_ms + bound_ms - QUEUE_MARGIN_MS
+        if now_ms < until_ms:
+            coming.append(VersionCutoff(named.version, until_ms))
     return coming
 
 
@@ -83,7 +83,7 @@
     Returns:
       A clock reading, infinite if no cutoff applies to the version.
     """
-    ends_ms = (leave.cutoff_ms for leave in coming if leave.version > version)
+    ends_ms = (c.cutoff_ms for c in coming if c.version > version)
     return min(ends_ms, default=float("inf"))
 
 
@@ -108,10 +108,10 @@
     for named in target.named:
         counts_from_ms = named.counts_from_ms
         if counts_from_ms is None:
-            cutoff_ms = started_ms + FIRST_READ_GRACE_MS - wait_ms
+            until_ms = started_ms + FIRST_READ_GRACE_MS - wait_ms
         else:
-            cutoff_ms = counts_from_ms + bound_ms - wait_ms
-        if now_ms >= cutoff_ms:
+            until_ms = counts_from_ms + bound_ms - wait_ms
+        if now_ms >= until_ms:
             oldest = max(oldest, named.version)
     return oldest
 
--- a/tests/core/test_direct_decisions.py
+++ b/tests/core/test_direct_decisions.py
@@ -38,7 +38,7 @@
 
 
 @pytest.fixture
-def wanted(engine: fleet.EngineSpec) -> upstream_choice.RequestNeeds:
+def needs(engine: fleet.EngineSpec) -> upstream_choice.RequestNeeds:
     return msgspec.structs.replace(
         WANTED, engine=engine, prompt_tokens=900, events=18.0, oldest_weights=1
     )
@@ -46,24 +46,24 @@
 
 def test_engine_without_weights_receives_no_requests(
     make_replica: MakeReplica,
-    wanted: upstream_choice.RequestNeeds,
+    needs: upstream_choice.RequestNeeds,
     time: clock.ManualClock,
 ) -> None:
     empty = view_of(make_replica(replica_id="i-0", weights=0))
     loaded = view_of(make_replica())
     loaded.record_load(15, 4, time.now_ms())
     ranked = upstream_choice.rank(
-        [empty, loaded], wanted, ANYWHERE, time.now_ms()
+        [empty, loaded], needs, ANYWHERE, time.now_ms()
     )
     assert ids_of(ranked) == ["i-1"]
 
 
 def test_engine_on_an_outdated_version_receives_no_requests(
     make_replica: MakeReplica,
-    wanted: upstream_choice.RequestNeeds,
+    needs: upstream_choice.RequestNeeds,
     time: clock.ManualClock,
 ) -> None:
-    newer = msgspec.structs.replace(wanted, oldest_weights=2)
+    newer = msgspec.structs.replace(needs, oldest_weights=2)
     old = view_of(make_replica())
     assert upstream_choice.rank([old], newer, ANYWHERE, time.now_ms()) == []
 
@@ -79,7 +79,7 @@
 
 def test_request_that_outlasts_a_closing_engine_goes_elsewhere(
     make_replica: MakeReplica,
-    wanted: upstream_choice.RequestNeeds,
+    needs: upstream_choice.RequestNeeds,
     time: clock.ManualClock,
 ) -> None:
     closing = view_of(make_replica(replica_id="i-0"))
@@ -88,9 +88,9 @@
     busy = view_of(make_replica())
     busy.record_load(8, 0, time.now_ms())
     views = [closing, busy]
-    long = upstream_choice.rank(views, wanted, ANYWHERE, time.now_ms())
+    long = upstream_choice.rank(views, needs, ANYWHERE, time.now_ms())
     assert ids_of(long) == ["i-1", "i-0"]
-    brief = msgspec.structs.replace(wanted, events=2.0)
+    brief = msgspec.structs.replace(needs, events=2.0)
     assert ids_of(
         upstream_choice.rank(views, brief, ANYWHERE, time.now_ms())
     ) == [
--- a/tests/core/test_peer_loads.py
+++ b/tests/core/test_peer_loads.py
@@ -45,14 +45,14 @@
     engine: fleet.EngineSpec,
     now_ms: clock.Millis,
 ) -> str:
-    wanted = upstream_choice.RequestNeeds(
+    needs = upstream_choice.RequestNeeds(
         engine=engine,
         prompt_tokens=900,
         events=18.0,
         oldest_weights=1,
         failed=(),
     )
-    ranked = upstream_choice.rank(list(table), wanted, ANYWHERE, now_ms)
+    ranked = upstream_choice.rank(list(table), needs, ANYWHERE, now_ms)
     return ranked[0].view.replica.replica_id
 
 
@@ -177,7 +177,7 @@
 ) -> None:
     view = table.get("i-1")
     assert view is not None
-    wanted = upstream_choice.RequestNeeds(
+    needs = upstream_choice.RequestNeeds(
         engine=engine,
         prompt_tokens=900,
         events=18.0,
@@ -185,8 +185,8 @@
         failed=(),
     )
     now_ms = time.now_ms()
-    alone_ms = upstream_choice.predicted_ms(view, wanted, now_ms)
+    before_ms = upstream_choice.predicted_ms(view, needs, now_ms)
     loads = peer_loads.PeerLoads(table)
     loads.update("entry-2", [peer_loads.OwnLoad("i-1", 4, 4_000)])
-    together_ms = upstream_choice.predicted_ms(view, wanted, now_ms)
-    assert together_ms - alone_ms >= 4_000 / engine.read_tokens_per_ms
+    after_ms = upstream_choice.predicted_ms(view, needs, now_ms)
+    assert after_ms - before_ms >= 4_000 / engine.read_tokens_per_ms
--- a/tests/core/test_version_cutoff.py
+++ b/tests/core/test_version_cutoff.py
@@ -75,7 +75,7 @@
     return view
 
 
-def wanted(
+def needs_of(
     known: catalog.Catalog, engine: fleet.EngineSpec, now_ms: clock.Millis
 ) -> upstream_choice.RequestNeeds:
     target = known.targets["m"]
@@ -91,7 +91,7 @@
     )
 
 
-def chosen(
+def select(
     known: catalog.Catalog,
     view: replica_view.ReplicaView,
     engine: fleet.EngineSpec,
@@ -99,7 +99,7 @@
 ) -> upstream_choice.Choice:
     target = known.targets["m"]
     (choice,) = upstream_choice.rank(
-        [view], wanted(known, engine, now_ms), ANYWHERE, now_ms
+        [view], needs_of(known, engine, now_ms), ANYWHERE, now_ms
     )
     return msgspec.structs.replace(
         choice,
@@ -108,24 +108,24 @@
     )
 
 
-@pytest.mark.parametrize("way_ms", [0.0, 3.0, 9.0, 9.5, 63.0, 150.0, 400.0])
+@pytest.mark.parametrize("latency_ms", [0.0, 3.0, 9.0, 9.5, 63.0, 150.0, 400.0])
 def test_replica_is_selected_while_requests_may_be_written_to_it(
     known: catalog.Catalog,
     table: replica_table.ReplicaTable,
     engine: fleet.EngineSpec,
     time: clock.ManualClock,
-    way_ms: float,
+    latency_ms: float,
 ) -> None:
     view = view_of(table, "i-1")
-    choice = chosen(known, view, engine, time.now_ms())
+    choice = select(known, view, engine, time.now_ms())
     announced_ms = time.now_ms()
     until_ms = announced_ms
     time.advance(BOUND_MS - 1_000.0)
     while time.now_ms() < announced_ms + BOUND_MS:
         now_ms = time.now_ms()
-        view.record_latency(way_ms, now_ms)
+        view.record_latency(latency_ms, now_ms)
         written = choice.may_be_written(now_ms)
-        request = wanted(known, engine, now_ms)
+        request = needs_of(known, engine, now_ms)
         assert upstream_choice.usable(view, request, now_ms) == written
         assert upstream_choice.still_usable(view, request, now_ms) == written
         if written:
@@ -138,25 +138,27 @@
             )
         time.advance(1.0)
     margin_ms = version_cutoff.QUEUE_MARGIN_MS + max(
-        0.0, way_ms - path_latency.MARGIN_LATENCY_MS
+        0.0, latency_ms - path_latency.MARGIN_LATENCY_MS
     )
     left_ms = announced_ms + BOUND_MS - until_ms
     assert margin_ms < left_ms <= margin_ms + 1.0
 
 
-@pytest.mark.parametrize("way_ms", [0.0, 3.0, path_latency.MARGIN_LATENCY_MS])
+@pytest.mark.parametrize(
+    "latency_ms", [0.0, 3.0, path_latency.MARGIN_LATENCY_MS]
+)
 def test_low_path_latency_leaves_the_margins_at_their_least(
     known: catalog.Catalog,
     table: replica_table.ReplicaTable,
     engine: fleet.EngineSpec,
     time: clock.ManualClock,
-    way_ms: float,
+    latency_ms: float,
 ) -> None:
     view = view_of(table, "i-1")
-    view.record_latency(way_ms, time.now_ms())
-    choice = chosen(known, view, engine, time.now_ms())
-    taken_back_ms = choice.withdrawal_ms(time.now_ms())
-    assert taken_back_ms == (
+    view.record_latency(latency_ms, time.now_ms())
+    choice = select(known, view, engine, time.now_ms())
+    withdrawal_ms = choice.withdrawal_ms(time.now_ms())
+    assert withdrawal_ms == (
         time.now_ms() + BOUND_MS - version_cutoff.WITHDRAWAL_MARGIN_MS
     )
 
@@ -171,7 +173,7 @@
     mandatory_ms = time.now_ms() + BOUND_MS
     for replica_id, least_ms in (("i-1", 150.0), ("i-2", 150.0), ("i-3", 0.0)):
         view = view_of(table, replica_id)
-        choice = chosen(known, view, engine, time.now_ms())
+        choice = select(known, view, engine, time.now_ms())
         margin_ms = mandatory_ms - choice.withdrawal_ms(time.now_ms())
         assert margin_ms > least_ms + 50.0
         assert (margin_ms == version_cutoff.WITHDRAWAL_MARGIN_MS) == (
@@ -188,7 +190,7 @@
     time.advance(BOUND_MS - version_cutoff.QUEUE_MARGIN_MS - 100.0)
     now_ms = time.now_ms()
     view_of(table, "i-1").record_latency(150.0, now_ms)
-    request = wanted(known, engine, now_ms)
+    request = needs_of(known, engine, now_ms)
     ranked = upstream_choice.rank(list(table), request, ANYWHERE, now_ms)
     assert [c.view.replica.replica_id for c in ranked] == ["i-3"]
     newer = view_of(table, "i-1")
