--- a/src/marlramp/core/peer_loads.py
+++ b/src/marlramp/core/peer_loads.py
@@ -130,7 +130,7 @@
 
         An increase is reported at once, along with all decreases. Decreases
         alone are reported only if the last report is at least
-        `falls_pause_ms` old.
+        `decreases_pause_ms` old.
 
         Args:
           peers: number of peers that receive the report.
@@ -139,7 +139,9 @@
         updates = [load for load in map(self._load, self._changed) if load]
         updates = [load for load in updates if self._is_new(load)]
         increased = any(map(self._has_increased, updates))
-        if not increased and now_ms < self._reported_ms + falls_pause_ms(peers):
+        if not increased and now_ms < self._reported_ms + decreases_pause_ms(
+            peers
+        ):
             return []
         self._record_reported(updates, now_ms)
         return sorted(updates, key=lambda load: load.replica_id)
@@ -194,7 +196,7 @@
         )
 
 
-def falls_pause_ms(peers: int) -> float:
+def decreases_pause_ms(peers: int) -> float:
     """Returns the least age of the last report before only decreases are sent.
 
     Args:
--- a/src/marlramp/direct/fleet/load_exchange.py
+++ b/src/marlramp/direct/fleet/load_exchange.py
@@ -65,7 +65,7 @@
         """Waits for a change, or until something is due without one."""
         due_ms = REFRESH_MS - (self._clock.now_ms() - self._refreshed_ms)
         if self._news.has_pending:
-            due_ms = peer_loads.falls_pause_ms(len(self._peers))
+            due_ms = peer_loads.decreases_pause_ms(len(self._peers))
         if due_ms <= 0:
             return
         with contextlib.suppress(TimeoutError):
--- a/tests/core/test_peer_loads.py
+++ b/tests/core/test_peer_loads.py
@@ -106,7 +106,7 @@
     view.record_sent(900, time.now_ms())
     sent = peer_loads.OwnLoad("i-1", 1, 900)
     assert updates.changed(PEERS, time.now_ms()) == [sent]
-    time.advance(peer_loads.falls_pause_ms(PEERS))
+    time.advance(peer_loads.decreases_pause_ms(PEERS))
     assert updates.changed(PEERS, time.now_ms()) == []
     view.record_prompt_read(900)
     read = peer_loads.OwnLoad("i-1", 1, 0)
@@ -143,7 +143,7 @@
     view.record_ended()
     assert updates.has_pending
     assert updates.changed(PEERS, time.now_ms()) == []
-    time.advance(peer_loads.falls_pause_ms(PEERS))
+    time.advance(peer_loads.decreases_pause_ms(PEERS))
     ended = peer_loads.OwnLoad("i-1", 0, 0)
     assert updates.changed(PEERS, time.now_ms()) == [ended]
     assert not updates.has_pending
@@ -151,7 +151,7 @@
 
 def test_rate_of_decrease_reports_from_all_peers_is_limited() -> None:
     for peers in (1, 5, 15):
-        per_second = peers * 1_000.0 / peer_loads.falls_pause_ms(peers)
+        per_second = peers * 1_000.0 / peer_loads.decreases_pause_ms(peers)
         assert per_second <= peer_loads.DECREASES_PER_S_MAX
 
 
