--- a/src/marlramp/core/breaker.py
+++ b/src/marlramp/core/breaker.py
@@ -1,7 +1,4 @@
-"""Circuit breaker for one upstream.
-
-An upstream that fails fast looks idle and would otherwise attract requests.
-"""
+"""Circuit breaker for one upstream, against upstreams that fail fast."""
 
 from __future__ import annotations
 
--- a/src/marlramp/core/queue_position.py
+++ b/src/marlramp/core/queue_position.py
@@ -10,7 +10,8 @@
 
     Attributes:
       FRONT: the request may still begin within its objective.
-      BEHIND: the request is late in any case and yields to the others.
+      BEHIND: the request is late in any case, is queued at the back and yields
+        to all others.
     """
 
     FRONT = "front"
--- a/src/marlramp/core/replica_table.py
+++ b/src/marlramp/core/replica_table.py
@@ -31,7 +31,7 @@
 
     Attributes:
       born_ms: Unix time of the replica's start, None if unknown.
-      availability: the pauses, backoff and drain that this start announced.
+      availability: pauses, backoff and drain of that start.
     """
 
     born_ms: int | None
--- a/src/marlramp/core/replica_view.py
+++ b/src/marlramp/core/replica_view.py
@@ -121,7 +121,7 @@
 class ReplicaView(msgspec.Struct):
     """What this entry knows about one replica.
 
-    The times that end in `reported_ms`, `load_ms`, `seen_ms`, `answered_ms` and
+    The attributes `reported_ms`, `load_ms`, `seen_ms`, `answered_ms` and
     `heard_ms` are clock readings.
 
     Attributes:
--- a/src/marlramp/core/upstream_choice.py
+++ b/src/marlramp/core/upstream_choice.py
@@ -315,9 +315,9 @@
     Only rate limits, pauses and drains that replicas announced are considered.
 
     Returns:
-      The time in ms, infinite if all replicas drain. None if no replica is
-      known to be closed, or if one is closed for another reason, which may end
-      soon.
+      The time in ms, infinite if all replicas drain. None if a replica without
+      a rate limit is neither paused nor drained, because whatever else keeps
+      the request from it may end soon. None also if no replica qualifies.
     """
     waits_ms = []
     for view in views:
