--- a/src/marlramp/core/admission.py
+++ b/src/marlramp/core/admission.py
@@ -23,7 +23,7 @@
 
 from marlramp import clock
 from marlramp.core import fleet
-from marlramp.core import queue_place
+from marlramp.core import queue_position
 from marlramp.core import replica_view
 from marlramp.core import upstream_choice
 
@@ -84,7 +84,7 @@
         must not be refused as one that has not run.
     """
 
-    wanted: upstream_choice.Wanted
+    wanted: upstream_choice.RequestNeeds
     elapsed_ms: float
     wait_max_ms: float
     objective_ms: float
@@ -125,7 +125,7 @@
 def decide(
     views: Sequence[replica_view.ReplicaView],
     request: Request,
-    places: upstream_choice.Places,
+    places: upstream_choice.PreferredLocations,
     now_ms: clock.Millis,
     rng: random.Random,
 ) -> upstream_choice.Choice | Refusal | None:
@@ -163,7 +163,7 @@
         return front
     yielding = msgspec.structs.replace(
         wanted,
-        place=queue_place.QueuePlace.BEHIND,
+        position=queue_position.QueuePosition.BEHIND,
         oldest_weights=max(wanted.oldest_weights, request.oldest_behind),
     )
     ranked_behind = upstream_choice.rank(views, yielding, places, now_ms)
--- a/src/marlramp/direct/calls/replica_observer.py
+++ b/src/marlramp/direct/calls/replica_observer.py
@@ -4,7 +4,7 @@
 
 from marlramp import clock
 from marlramp import errors
-from marlramp.core import queue_place
+from marlramp.core import queue_position
 from marlramp.core import replica_view
 from marlramp.core import upstream_choice
 from marlramp.direct.calls import attempts
@@ -32,7 +32,7 @@
         view = choice.view
         self._view = view
         self._unbiased_ms = choice.unbiased_ms
-        self._place = choice.place
+        self._place = choice.position
         self._tokens: int | None = prompt_tokens
         self._limits = limits
         self._signals = signals
@@ -40,7 +40,7 @@
         self._sent_ms = time.now_ms()
         self._first_ms: float | None = None
         self.first_event_ms: float | None = None
-        view.note_sent(prompt_tokens, time.now_ms(), choice.place)
+        view.record_sent(prompt_tokens, time.now_ms(), choice.position)
 
     def on_answer(self, answer: wire.ReplicaAnswer) -> None:
         """Takes the load and the weights that the answer tells."""
@@ -48,7 +48,7 @@
         view = self._view
         view.heard_ms = now_ms
         if answer.load is not None:
-            view.note_load(answer.load.running, answer.load.waiting, now_ms)
+            view.record_load(answer.load.running, answer.load.waiting, now_ms)
         if answer.weights is not None:
             view.seen_weights = answer.weights
             view.seen_ms = now_ms
@@ -80,34 +80,34 @@
         if self._first_ms is None and failure is not None:
             self._note_unbegun()
         self._read()
-        self._view.note_ended()
+        self._view.record_ended()
         if failure is None:
-            self._view.note_good(now_ms)
+            self._view.record_success(now_ms)
             if events is not None and self._first_ms is not None:
-                self._view.note_run(now_ms - self._first_ms, events)
+                self._view.record_run(now_ms - self._first_ms, events)
             elif events is None:
-                self._view.note_answered(now_ms - self._sent_ms, now_ms)
+                self._view.record_answer(now_ms - self._sent_ms, now_ms)
         elif failure.ran is errors.Ran.NO:
             self._spare(outcome, now_ms)
         elif outcome.answer is not None:
-            self._view.note_error(now_ms)
+            self._view.record_error(now_ms)
         else:
-            self._view.note_broken(now_ms)
+            self._view.record_incomplete(now_ms)
 
     def left(self) -> None:
         """The caller left before the attempt ended."""
         if self._first_ms is None:
             self._note_unbegun()
         self._read()
-        self._view.note_ended()
+        self._view.record_ended()
 
     def _note_wait(self, taken_ms: float) -> None:
         now_ms = self._clock.now_ms()
-        if self._place is queue_place.QueuePlace.BEHIND:
+        if self._place is queue_position.QueuePosition.BEHIND:
             bias = self._view.behind_bias
-            bias.note(taken_ms, self._unbiased_ms, now_ms)
+            bias.record(taken_ms, self._unbiased_ms, now_ms)
         else:
-            self._view.note_first(taken_ms, self._unbiased_ms, now_ms)
+            self._view.record_first_event(taken_ms, self._unbiased_ms, now_ms)
 
     def _note_unbegun(self) -> None:
         """Takes a wait that brought nothing, if it was longer than predicted.
@@ -116,19 +116,19 @@
         leave are the only sign that there is none.
         """
         waited_ms = self._clock.now_ms() - self._sent_ms
-        yielded = self._place is queue_place.QueuePlace.BEHIND
+        yielded = self._place is queue_position.QueuePosition.BEHIND
         if yielded and waited_ms > self._unbiased_ms:
             self._note_wait(waited_ms)
 
     def _read(self) -> None:
         if self._tokens is not None:
-            self._view.note_read(self._tokens, self._place)
+            self._view.record_prompt_read(self._tokens, self._place)
             self._tokens = None
 
     def _spare(self, outcome: attempts.Outcome, now_ms: clock.Millis) -> None:
         """Leaves a replica alone that was not reached or is not the one."""
         if outcome.answer is None:
-            self._view.note_unreachable(now_ms)
+            self._view.record_unreachable(now_ms)
             return
         if outcome.answer.status == errors.MISDIRECTED:
             wait_ms = replica_view.MISDIRECTED_BACKOFF_MS
--- a/src/marlramp/direct/calls/selection.py
+++ b/src/marlramp/direct/calls/selection.py
@@ -16,7 +16,7 @@
 from marlramp.core import fleet
 from marlramp.core import replica_table
 from marlramp.core import upstream_choice
-from marlramp.core import weights_gate
+from marlramp.core import version_cutoff
 from marlramp.direct.calls import call as call_module
 from marlramp.direct.calls import named_limits
 from marlramp.settings import node
@@ -72,7 +72,9 @@
         self._started_ms = time.now_ms()
         self._rng = random.Random()
         self._version_bound_ms = settings.bounds.version_ms
-        self._places = upstream_choice.Places(settings.near_data_centres)
+        self._places = upstream_choice.PreferredLocations(
+            settings.near_data_centres
+        )
 
     def set_settings(self, settings: node.NodeSettings) -> None:
         """Takes changed bounds."""
@@ -81,7 +83,9 @@
     def set_cell(self, hosts: Collection[str]) -> None:
         """Takes the addresses of the VMs whose engines belong to the cell."""
         near = self._places.near
-        self._places = upstream_choice.Places(near, frozenset(hosts))
+        self._places = upstream_choice.PreferredLocations(
+            near, frozenset(hosts)
+        )
 
     async def choose(self, call: call_module.Call) -> upstream_choice.Choice:
         """Returns the best replica, waiting a little while none is open.
@@ -165,17 +169,17 @@
 
     def _wanted(
         self, call: call_module.Call, now_ms: clock.Millis
-    ) -> upstream_choice.Wanted:
-        return upstream_choice.Wanted(
+    ) -> upstream_choice.RequestNeeds:
+        return upstream_choice.RequestNeeds(
             engine=call.service.engine,
             prompt_tokens=call.said.prompt_tokens,
             events=call.expected_events(),
             oldest_weights=self._oldest_weights(
-                call.service, weights_gate.QUEUE_MARGIN_MS, now_ms
+                call.service, version_cutoff.QUEUE_MARGIN_MS, now_ms
             ),
-            leaves=self._leaves(call.service, now_ms),
+            cutoffs=self._leaves(call.service, now_ms),
             failed=call.failed,
-            alone=call.suspected,
+            isolated=call.suspected,
             limit_wait_max_ms=call.limit_wait_max_ms(now_ms),
         )
 
@@ -189,7 +193,7 @@
         weights = choice.view.weights(now_ms)
         chosen = msgspec.structs.replace(choice, weights=weights)
         dated = self.dated(call, chosen)
-        left_ms = dated.taken_back_ms(now_ms) - now_ms
+        left_ms = dated.withdrawal_ms(now_ms) - now_ms
         return msgspec.structs.replace(dated, begins_within_ms=left_ms)
 
     def dated(
@@ -205,21 +209,23 @@
         bound_ms = self._version_bound_ms
         return msgspec.structs.replace(
             choice,
-            begins_until_ms=weights_gate.begins_until_ms(
+            begins_until_ms=version_cutoff.begins_until_ms(
                 target, bound_ms, choice.weights, self._started_ms
             ),
-            sent_until_ms=weights_gate.sent_until_ms(
+            sent_until_ms=version_cutoff.sent_until_ms(
                 target, bound_ms, choice.weights, self._started_ms
             ),
         )
 
     def _leaves(
         self, service: fleet.Service, now_ms: clock.Millis
-    ) -> list[weights_gate.Leave]:
+    ) -> list[version_cutoff.VersionCutoff]:
         target = self._target(service)
         if target is None:
             return []
-        return weights_gate.leaves(target, self._version_bound_ms, now_ms)
+        return version_cutoff.upcoming_cutoffs(
+            target, self._version_bound_ms, now_ms
+        )
 
     def _target(self, service: fleet.Service) -> catalog.KnownTarget | None:
         if service.engine is None:
@@ -235,7 +241,7 @@
         if target is None:
             return 1
         bound_ms = self._version_bound_ms
-        return weights_gate.oldest_allowed(
+        return version_cutoff.oldest_allowed(
             target, bound_ms, self._started_ms, now_ms, wait_ms
         )
 
--- a/src/marlramp/direct/calls/sender.py
+++ b/src/marlramp/direct/calls/sender.py
@@ -15,7 +15,7 @@
 from marlramp.core import attempt_timeouts
 from marlramp.core import caller_timeout
 from marlramp.core import fleet
-from marlramp.core import queue_place
+from marlramp.core import queue_position
 from marlramp.core import upstream_choice
 from marlramp.direct.calls import attempts
 from marlramp.direct.calls import call as call_module
@@ -173,12 +173,14 @@
             weights = view.weights(now_ms)
             choice = msgspec.structs.replace(choice, weights=weights)
             choice = self._ends.dated(call, choice)
-            if not view.takes(now_ms) or not choice.may_be_written(now_ms):
+            if not view.accepts_assigned(now_ms) or not choice.may_be_written(
+                now_ms
+            ):
                 call.sends -= 1
                 observer.left()
                 pool.give_back(connection)
                 return Sent(_unsent(), unsent=True)
-            way_ms = view.way_ms(now_ms)
+            way_ms = view.path_latency_ms(now_ms)
             tried = await self._exchange(call, choice, connection, observer)
             tried.way_ms = max(tried.way_ms, way_ms)
         except asyncio.CancelledError:
@@ -211,7 +213,7 @@
         share = 1.0 if call.route.repeatable else FRESH_IDLE_SHARE
         asked_ms = self._clock.now_ms()
         # Opening one measures the way, before an old version gets the request.
-        if not choice.needs_way(asked_ms):
+        if not choice.needs_latency(asked_ms):
             connection = pool.take_idle(share)
             if connection is not None:
                 return connection
@@ -223,7 +225,7 @@
             )
             return None
         now_ms = self._clock.now_ms()
-        view.note_way(now_ms - asked_ms, now_ms)
+        view.record_latency(now_ms - asked_ms, now_ms)
         return connection
 
     async def _exchange(
@@ -254,7 +256,7 @@
                 return Sent(
                     self._stalled(call, attempt),
                     stalled=True,
-                    way_ms=choice.view.way_ms(self._clock.now_ms()),
+                    way_ms=choice.view.path_latency_ms(self._clock.now_ms()),
                 )
             # One that has begun may yet end well and clear itself.
             if not attempt.begun and self._is_condemned(call.fingerprint):
@@ -309,7 +311,7 @@
             if call.customer is None
             else call.customer.customer_id,
             weights=None if engine is None else choice.weights,
-            priority=_priority(call, choice.place),
+            priority=_priority(call, choice.position),
             resume_after=call.relay.splitter.last_id,
         )
 
@@ -333,7 +335,7 @@
             heard_ms=choice.view.heard_ms,
             gap_timeout_ms=gap_timeout_ms if route.streaming else 0.0,
             predicted_ms=choice.predicted_ms,
-            begins_until_ms=choice.taken_back_ms(self._clock.now_ms()),
+            begins_until_ms=choice.withdrawal_ms(self._clock.now_ms()),
         )
         return attempt_timeouts.deadline_ms(waiting)
 
@@ -375,11 +377,11 @@
 
 
 def _priority(
-    call: call_module.Call, place: queue_place.QueuePlace
+    call: call_module.Call, place: queue_position.QueuePosition
 ) -> int | None:
     """Returns the rank in the replica's queue, None for the default."""
     if call.relay.started:
         return RESUMED_PRIORITY
-    if place is queue_place.QueuePlace.BEHIND:
+    if place is queue_position.QueuePosition.BEHIND:
         return BEHIND_PRIORITY
     return None
--- a/src/marlramp/direct/calls/way_probes.py
+++ b/src/marlramp/direct/calls/way_probes.py
@@ -46,8 +46,8 @@
         replica_id = view.replica.replica_id
         probe = self._probes.get(replica_id)
         if probe is not None:
-            view.note_way_at_least(now_ms - probe.asked_ms, now_ms)
-        elif view.ways.age_ms(now_ms) > PROBE_MS:
+            view.record_latency_at_least(now_ms - probe.asked_ms, now_ms)
+        elif view.latency.age_ms(now_ms) > PROBE_MS:
             task = asyncio.create_task(self._open(view, pool, now_ms))
             self._probes[replica_id] = _Probe(now_ms, task)
 
@@ -64,5 +64,5 @@
         finally:
             del self._probes[view.replica.replica_id]
         now_ms = self._clock.now_ms()
-        view.note_way(now_ms - asked_ms, now_ms)
+        view.record_latency(now_ms - asked_ms, now_ms)
         pool.give_back(connection)
--- a/src/marlramp/direct/fleet/load_exchange.py
+++ b/src/marlramp/direct/fleet/load_exchange.py
@@ -49,7 +49,7 @@
         self._totals = totals
         self._clock = time
         self._changed = asyncio.Event()
-        self._news = peer_loads.LoadNews(table, self._changed.set)
+        self._news = peer_loads.LoadUpdates(table, self._changed.set)
         self._loads = peer_loads.PeerLoads(table)
         self._peers: set[str] = set()
         self._refreshed_ms = float("-inf")
@@ -64,8 +64,8 @@
     async def _wait(self) -> None:
         """Waits for a change, or until something is due without one."""
         due_ms = REFRESH_MS - (self._clock.now_ms() - self._refreshed_ms)
-        if self._news.waits:
-            due_ms = peer_loads.falls_pause_ms(len(self._peers))
+        if self._news.has_pending:
+            due_ms = peer_loads.decreases_pause_ms(len(self._peers))
         if due_ms <= 0:
             return
         with contextlib.suppress(TimeoutError):
@@ -77,7 +77,7 @@
         if message.whole:
             self._loads.replace(name, message.loads)
         else:
-            self._loads.take(name, message.loads)
+            self._loads.update(name, message.loads)
 
     def forget(self, replica_ids: list[str]) -> None:
         """Drops replicas that are gone."""
--- a/src/marlramp/experiments/overload.py
+++ b/src/marlramp/experiments/overload.py
@@ -94,9 +94,9 @@
         self.table = replica_table.ReplicaTable()
         self.table.sync(known, clock.Millis(now_ms))
         self.loads = peer_loads.PeerLoads(self.table)
-        self.news = peer_loads.LoadNews(self.table)
+        self.news = peer_loads.LoadUpdates(self.table)
         self.waits = caller_wait_estimate.CallerWaitEstimate(TIMEOUT_MS)
-        self.places = upstream_choice.Places({_data_centre(region)})
+        self.places = upstream_choice.PreferredLocations({_data_centre(region)})
 
 
 def _data_centre(region: int) -> str:
@@ -212,7 +212,7 @@
         entry = self._rng.choice(self._entries)
         now_ms = self._time.now_ms()
         left_ms = caller.first_ms + caller.patience_ms - now_ms
-        wanted = upstream_choice.Wanted(
+        wanted = upstream_choice.RequestNeeds(
             engine=SPEC,
             prompt_tokens=caller.prompt_tokens,
             events=float(caller.events),
@@ -274,7 +274,7 @@
             observer.ended(attempts.Outcome(failure=None), caller.events)
 
         job = overload_engine.Job(
-            place=choice.place,
+            place=choice.position,
             sent_ms=self._time.now_ms(),
             unread_tokens=caller.prompt_tokens,
             events_left=caller.events,
@@ -361,7 +361,7 @@
         self, entry: _Entry, report: replica_view.LoadReport
     ) -> Callable[[], None]:
         def hear() -> None:
-            entry.table.report(report, self._time.now_ms())
+            entry.table.handle_report(report, self._time.now_ms())
 
         return hear
 
@@ -373,7 +373,7 @@
             self.load_messages += 1
             for other in self._entries:
                 if other is not entry and other.name in mates:
-                    other.loads.take(entry.name, news)
+                    other.loads.update(entry.name, news)
         self._in(EXCHANGE_MS, lambda: self._exchange(entry))
 
 
--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -12,7 +12,7 @@
 from marlramp.core import availability
 from marlramp.core import breaker
 from marlramp.core import fleet
-from marlramp.core import queue_place
+from marlramp.core import queue_position
 from marlramp.core import replica_view
 from marlramp.core import send_limit
 from marlramp.core import upstream_choice
@@ -20,10 +20,10 @@
 
 MakeReplica: TypeAlias = Callable[..., fleet.Replica]
 
-FRONT = queue_place.QueuePlace.FRONT
-BEHIND = queue_place.QueuePlace.BEHIND
+FRONT = queue_position.QueuePosition.FRONT
+BEHIND = queue_position.QueuePosition.BEHIND
 
-ANYWHERE = upstream_choice.Places(frozenset())
+ANYWHERE = upstream_choice.PreferredLocations(frozenset())
 
 
 @pytest.fixture
@@ -35,7 +35,7 @@
 @pytest.fixture
 def request_(engine: fleet.EngineSpec) -> admission.Request:
     """The first attempt of a request of typical size."""
-    wanted = upstream_choice.Wanted(
+    wanted = upstream_choice.RequestNeeds(
         engine=engine,
         prompt_tokens=900,
         events=18.0,
@@ -53,9 +53,9 @@
 
 def place_of(
     decision: upstream_choice.Choice | admission.Refusal | None,
-) -> queue_place.QueuePlace | None:
+) -> queue_position.QueuePosition | None:
     if isinstance(decision, upstream_choice.Choice):
-        return decision.place
+        return decision.position
     return None
 
 
@@ -92,8 +92,8 @@
     for _ in range(32):
         decision = admission.decide([view], herd, ANYWHERE, time.now_ms(), rng)
         if isinstance(decision, upstream_choice.Choice):
-            view.note_sent(900, time.now_ms(), decision.place)
-    view.note_load(16, view.in_flight - 16, time.now_ms())
+            view.record_sent(900, time.now_ms(), decision.position)
+    view.record_load(16, view.in_flight - 16, time.now_ms())
     fresh = admission.decide([view], request_, ANYWHERE, time.now_ms(), rng)
     assert place_of(fresh) is FRONT
     again = admission.decide([view], herd, ANYWHERE, time.now_ms(), rng)
@@ -107,7 +107,7 @@
     time: clock.ManualClock,
     rng: random.Random,
 ) -> None:
-    view.note_load(16, 64, time.now_ms())
+    view.record_load(16, 64, time.now_ms())
     refused = admission.decide([view], request_, ANYWHERE, time.now_ms(), rng)
     assert isinstance(refused, admission.Refusal)
     ran = msgspec.structs.replace(request_, maybe_ran=True)
@@ -146,13 +146,13 @@
     # entries of their own region what they sent to it. All waiting requests
     # are late.
     for _ in range(8):
-        view.note_sent(900, time.now_ms(), BEHIND)
-    view.note_load(16, 24, time.now_ms())
+        view.record_sent(900, time.now_ms(), BEHIND)
+    view.record_load(16, 24, time.now_ms())
     decision = admission.decide([view], request_, ANYWHERE, time.now_ms(), rng)
     assert place_of(decision) is FRONT
     for _ in range(8):
-        view.note_read(900, BEHIND)
-        view.note_sent(900, time.now_ms(), FRONT)
+        view.record_prompt_read(900, BEHIND)
+        view.record_sent(900, time.now_ms(), FRONT)
     decision = admission.decide([view], request_, ANYWHERE, time.now_ms(), rng)
     assert place_of(decision) is not FRONT
 
@@ -165,16 +165,16 @@
 ) -> None:
     # Load pattern: engines are full permanently, so that requests in the back
     # of the queue are never served and their callers wait in vain.
-    view.note_load(16, 5, time.now_ms())
+    view.record_load(16, 5, time.now_ms())
     request = late(request_, 1_000.0)
     decision = admission.decide([view], request, ANYWHERE, time.now_ms(), rng)
     assert place_of(decision) is BEHIND
     for _ in range(10):
-        view.behind_bias.note(1_800.0, 600.0, time.now_ms())
+        view.behind_bias.record(1_800.0, 600.0, time.now_ms())
     decision = admission.decide([view], request, ANYWHERE, time.now_ms(), rng)
     assert isinstance(decision, admission.Refusal)
     time.advance(4 * wait_bias.RELEASE_MS)
-    view.note_load(16, 5, time.now_ms())
+    view.record_load(16, 5, time.now_ms())
     decision = admission.decide([view], request, ANYWHERE, time.now_ms(), rng)
     assert place_of(decision) is BEHIND
 
@@ -194,7 +194,9 @@
         make_replica(replica_id="i-1", address="10.0.0.2:1"),
         breaker.Breaker(3, 1_500.0),
     )
-    places = upstream_choice.Places({own.replica.data_centre}, {"10.0.0.1"})
+    places = upstream_choice.PreferredLocations(
+        {own.replica.data_centre}, {"10.0.0.1"}
+    )
 
     def chosen() -> str:
         choice = admission.decide(
@@ -203,9 +205,9 @@
         assert isinstance(choice, upstream_choice.Choice)
         return choice.view.replica.replica_id
 
-    own.note_load(10, 0, time.now_ms())
+    own.record_load(10, 0, time.now_ms())
     assert chosen() == "i-0"
-    own.note_load(16, 30, time.now_ms())
+    own.record_load(16, 30, time.now_ms())
     assert chosen() == "i-1"
 
 
@@ -217,7 +219,7 @@
     far = replica_view.ReplicaView(
         make_replica(address="10.0.0.2:1"), breaker.Breaker(3, 1_500.0)
     )
-    places = upstream_choice.Places({"elsewhere"}, {"10.0.0.1"})
+    places = upstream_choice.PreferredLocations({"elsewhere"}, {"10.0.0.1"})
     choice = admission.decide(
         [far], request_, places, time.now_ms(), random.Random(1)
     )
@@ -297,10 +299,10 @@
         for n in range(2)
     ]
     for _ in range(answers):
-        views[1].note_answered(58.0, time.now_ms())
+        views[1].record_answer(58.0, time.now_ms())
     time.advance(age_ms)
     for _ in range(10):
-        views[0].note_answered(40.0, time.now_ms())
+        views[0].record_answer(40.0, time.now_ms())
     plain = msgspec.structs.replace(
         request_,
         wanted=msgspec.structs.replace(request_.wanted, engine=None),
@@ -332,8 +334,8 @@
     for view in views:
         taken_ms = 12.5 if view is views[0] else 11.25
         for _ in range(3):
-            view.note_first(taken_ms, 11.25, time.now_ms())
-            view.note_answered(taken_ms, time.now_ms())
+            view.record_first_event(taken_ms, 11.25, time.now_ms())
+            view.record_answer(taken_ms, time.now_ms())
     plain = msgspec.structs.replace(
         request_,
         wanted=msgspec.structs.replace(request_.wanted, engine=None),
@@ -343,8 +345,8 @@
         choice = admission.decide(views, plain, ANYWHERE, time.now_ms(), rng)
         assert isinstance(choice, upstream_choice.Choice)
         sent += choice.view is views[0]
-        choice.view.note_sent(0, time.now_ms())
-        choice.view.note_ended()
+        choice.view.record_sent(0, time.now_ms())
+        choice.view.record_ended()
         time.advance(100.0)
     assert sent > 90 / 2
 
@@ -364,7 +366,7 @@
         for n in range(12)
     ]
     for view in views:
-        view.note_answered(11.0, time.now_ms())
+        view.record_answer(11.0, time.now_ms())
     views[0].availability.record_refusal(time.now_ms(), time.now_ms())
     time.advance(3_000.0)
     plain = msgspec.structs.replace(
@@ -376,8 +378,8 @@
         choice = admission.decide(views, plain, ANYWHERE, time.now_ms(), rng)
         assert isinstance(choice, upstream_choice.Choice)
         sent += choice.view is views[0]
-        choice.view.note_sent(0, time.now_ms())
-        choice.view.note_ended()
+        choice.view.record_sent(0, time.now_ms())
+        choice.view.record_ended()
     assert sent > 0
 
 
@@ -396,8 +398,8 @@
         for n in range(12)
     ]
     for view in views:
-        view.note_answered(11.0, time.now_ms())
-    views[0].note_broken(time.now_ms())
+        view.record_answer(11.0, time.now_ms())
+    views[0].record_incomplete(time.now_ms())
     time.advance(20_000.0)
     plain = msgspec.structs.replace(
         request_,
@@ -408,8 +410,8 @@
         choice = admission.decide(views, plain, ANYWHERE, time.now_ms(), rng)
         assert isinstance(choice, upstream_choice.Choice)
         sent += choice.view is views[0]
-        choice.view.note_sent(0, time.now_ms())
-        choice.view.note_ended()
+        choice.view.record_sent(0, time.now_ms())
+        choice.view.record_ended()
     assert sent > 0
 
 
@@ -575,7 +577,7 @@
     now_ms = clock.Millis(now_ms + availability.TRIAL_MS)
     first = admission.decide(views, plain, ANYWHERE, now_ms, rng)
     assert isinstance(first, upstream_choice.Choice)
-    first.view.note_sent(0, now_ms)
+    first.view.record_sent(0, now_ms)
     assert admission.decide(views, plain, ANYWHERE, now_ms, rng) is None
     first.view.availability.record_served(now_ms, now_ms)
     later_ms = clock.Millis(now_ms + availability.TRIAL_MS)
--- a/tests/core/test_peer_loads.py
+++ b/tests/core/test_peer_loads.py
@@ -15,16 +15,16 @@
 MakeReplica: TypeAlias = Callable[..., fleet.Replica]
 
 PEERS = 15
-"""Other entries of a full cell."""
+"""Number of other entries in a full cell."""
 
-ANYWHERE = upstream_choice.Places(frozenset())
+ANYWHERE = upstream_choice.PreferredLocations(frozenset())
 
 
 @pytest.fixture
 def table(
     make_replica: MakeReplica, time: clock.ManualClock
 ) -> replica_table.ReplicaTable:
-    """Two engines, i-1 and i-2, alike."""
+    """A table with two identical engines, i-1 and i-2."""
     known = catalog.Catalog()
     changes = [
         catalog.ReplicaChange(
@@ -45,14 +45,14 @@
     engine: fleet.EngineSpec,
     now_ms: clock.Millis,
 ) -> str:
-    wanted = upstream_choice.Wanted(
+    needs = upstream_choice.RequestNeeds(
         engine=engine,
         prompt_tokens=900,
         events=18.0,
         oldest_weights=1,
         failed=(),
     )
-    ranked = upstream_choice.rank(list(table), wanted, ANYWHERE, now_ms)
+    ranked = upstream_choice.rank(list(table), needs, ANYWHERE, now_ms)
     return ranked[0].view.replica.replica_id
 
 
@@ -63,9 +63,9 @@
 ) -> None:
     loads = peer_loads.PeerLoads(table)
     first = best(table, engine, time.now_ms())
-    loads.take("entry-2", [peer_loads.OwnLoad(first, 1, 900)])
+    loads.update("entry-2", [peer_loads.OwnLoad(first, 1, 900)])
     assert best(table, engine, time.now_ms()) != first
-    loads.take("entry-2", [peer_loads.OwnLoad(first, 0, 0)])
+    loads.update("entry-2", [peer_loads.OwnLoad(first, 0, 0)])
     assert best(table, engine, time.now_ms()) == first
 
 
@@ -74,7 +74,7 @@
 ) -> None:
     loads = peer_loads.PeerLoads(table)
     for peer in ("entry-2", "entry-3"):
-        loads.take(peer, [peer_loads.OwnLoad("i-1", 2, 700)])
+        loads.update(peer, [peer_loads.OwnLoad("i-1", 2, 700)])
     view = table.get("i-1")
     assert view is not None
     assert (view.others_in_flight, view.others_unread) == (4, 1_400)
@@ -82,102 +82,102 @@
     assert (view.others_in_flight, view.others_unread) == (2, 700)
 
 
-def test_load_follows_what_came_and_went_since_the_last_word(
+def test_load_includes_changes_since_the_last_report(
     table: replica_table.ReplicaTable, time: clock.ManualClock
 ) -> None:
     view = table.get("i-1")
     assert view is not None
-    view.note_sent(900, time.now_ms())
-    view.note_load(5, 0, time.now_ms())
-    view.note_sent(900, time.now_ms())
+    view.record_sent(900, time.now_ms())
+    view.record_load(5, 0, time.now_ms())
+    view.record_sent(900, time.now_ms())
     assert view.load(time.now_ms()) == 6.0
-    view.note_ended()
-    view.note_ended()
+    view.record_ended()
+    view.record_ended()
     assert view.load(time.now_ms()) == 4.0
 
 
-def test_only_changes_are_told(
+def test_only_changes_are_reported(
     table: replica_table.ReplicaTable, time: clock.ManualClock
 ) -> None:
-    news = peer_loads.LoadNews(table)
-    assert news.changed(PEERS, time.now_ms()) == []
+    updates = peer_loads.LoadUpdates(table)
+    assert updates.changed(PEERS, time.now_ms()) == []
     view = table.get("i-1")
     assert view is not None
-    view.note_sent(900, time.now_ms())
+    view.record_sent(900, time.now_ms())
     sent = peer_loads.OwnLoad("i-1", 1, 900)
-    assert news.changed(PEERS, time.now_ms()) == [sent]
-    time.advance(peer_loads.falls_pause_ms(PEERS))
-    assert news.changed(PEERS, time.now_ms()) == []
-    view.note_read(900)
+    assert updates.changed(PEERS, time.now_ms()) == [sent]
+    time.advance(peer_loads.decreases_pause_ms(PEERS))
+    assert updates.changed(PEERS, time.now_ms()) == []
+    view.record_prompt_read(900)
     read = peer_loads.OwnLoad("i-1", 1, 0)
-    assert news.changed(PEERS, time.now_ms()) == [read]
+    assert updates.changed(PEERS, time.now_ms()) == [read]
 
 
-def test_rise_is_told_at_once_with_what_fell_meanwhile(
+def test_increase_is_reported_at_once_with_pending_decreases(
     table: replica_table.ReplicaTable, time: clock.ManualClock
 ) -> None:
     first, second = table.get("i-1"), table.get("i-2")
     assert first is not None
     assert second is not None
-    news = peer_loads.LoadNews(table)
-    first.note_sent(900, time.now_ms())
-    news.changed(PEERS, time.now_ms())
-    first.note_read(900)
-    assert news.changed(PEERS, time.now_ms()) == []
-    second.note_sent(700, time.now_ms())
-    assert news.changed(PEERS, time.now_ms()) == [
+    updates = peer_loads.LoadUpdates(table)
+    first.record_sent(900, time.now_ms())
+    updates.changed(PEERS, time.now_ms())
+    first.record_prompt_read(900)
+    assert updates.changed(PEERS, time.now_ms()) == []
+    second.record_sent(700, time.now_ms())
+    assert updates.changed(PEERS, time.now_ms()) == [
         peer_loads.OwnLoad("i-1", 1, 0),
         peer_loads.OwnLoad("i-2", 1, 700),
     ]
 
 
-def test_fall_is_told_within_its_pause(
+def test_decrease_is_reported_after_the_pause(
     table: replica_table.ReplicaTable, time: clock.ManualClock
 ) -> None:
     view = table.get("i-1")
     assert view is not None
-    news = peer_loads.LoadNews(table)
-    view.note_sent(900, time.now_ms())
-    news.changed(PEERS, time.now_ms())
-    view.note_read(900)
-    view.note_ended()
-    assert news.waits
-    assert news.changed(PEERS, time.now_ms()) == []
-    time.advance(peer_loads.falls_pause_ms(PEERS))
+    updates = peer_loads.LoadUpdates(table)
+    view.record_sent(900, time.now_ms())
+    updates.changed(PEERS, time.now_ms())
+    view.record_prompt_read(900)
+    view.record_ended()
+    assert updates.has_pending
+    assert updates.changed(PEERS, time.now_ms()) == []
+    time.advance(peer_loads.decreases_pause_ms(PEERS))
     ended = peer_loads.OwnLoad("i-1", 0, 0)
-    assert news.changed(PEERS, time.now_ms()) == [ended]
-    assert not news.waits
+    assert updates.changed(PEERS, time.now_ms()) == [ended]
+    assert not updates.has_pending
 
 
-def test_peers_together_tell_of_falls_so_often_at_most() -> None:
+def test_rate_of_decrease_reports_from_all_peers_is_limited() -> None:
     for peers in (1, 5, 15):
-        per_second = peers * 1_000.0 / peer_loads.falls_pause_ms(peers)
-        assert per_second <= peer_loads.FALLS_HEARD_PER_S_MAX
+        per_second = peers * 1_000.0 / peer_loads.decreases_pause_ms(peers)
+        assert per_second <= peer_loads.DECREASES_PER_S_MAX
 
 
-def test_all_names_used_replicas_only_and_takes_the_place_of_what_was_told(
+def test_complete_report_lists_used_replicas_and_replaces_earlier_loads(
     table: replica_table.ReplicaTable, time: clock.ManualClock
 ) -> None:
     first, second = table.get("i-1"), table.get("i-2")
     assert first is not None
     assert second is not None
     loads = peer_loads.PeerLoads(table)
-    loads.take("entry-2", [peer_loads.OwnLoad("i-1", 2, 700)])
-    second.note_sent(900, time.now_ms())
-    told = peer_loads.LoadNews(table).all(time.now_ms())
-    assert told == [peer_loads.OwnLoad("i-2", 1, 900)]
-    loads.replace("entry-2", told)
+    loads.update("entry-2", [peer_loads.OwnLoad("i-1", 2, 700)])
+    second.record_sent(900, time.now_ms())
+    reported = peer_loads.LoadUpdates(table).all(time.now_ms())
+    assert reported == [peer_loads.OwnLoad("i-2", 1, 900)]
+    loads.replace("entry-2", reported)
     assert (first.others_in_flight, second.others_in_flight) == (0, 1)
 
 
-def test_prompts_that_others_sent_lengthen_the_prediction(
+def test_unread_prompts_of_other_entries_lengthen_the_prediction(
     table: replica_table.ReplicaTable,
     engine: fleet.EngineSpec,
     time: clock.ManualClock,
 ) -> None:
     view = table.get("i-1")
     assert view is not None
-    wanted = upstream_choice.Wanted(
+    needs = upstream_choice.RequestNeeds(
         engine=engine,
         prompt_tokens=900,
         events=18.0,
@@ -185,8 +185,8 @@
         failed=(),
     )
     now_ms = time.now_ms()
-    alone_ms = upstream_choice.predicted_ms(view, wanted, now_ms)
+    before_ms = upstream_choice.predicted_ms(view, needs, now_ms)
     loads = peer_loads.PeerLoads(table)
-    loads.take("entry-2", [peer_loads.OwnLoad("i-1", 4, 4_000)])
-    together_ms = upstream_choice.predicted_ms(view, wanted, now_ms)
-    assert together_ms - alone_ms >= 4_000 / engine.read_tokens_per_ms
+    loads.update("entry-2", [peer_loads.OwnLoad("i-1", 4, 4_000)])
+    after_ms = upstream_choice.predicted_ms(view, needs, now_ms)
+    assert after_ms - before_ms >= 4_000 / engine.read_tokens_per_ms
--- a/tests/core/test_queueing.py
+++ b/tests/core/test_queueing.py
@@ -16,8 +16,8 @@
     priority: queueing.Priority = queueing.Priority.NORMAL,
     cost: float = 1.0,
     deadline_ms: float = 1e9,
-) -> queueing.Waiting:
-    return queueing.Waiting(
+) -> queueing.WaitingRequest:
+    return queueing.WaitingRequest(
         ids.RequestId(str(next(_numbers))),
         ids.CustomerId(customer),
         ids.ServiceId("pool"),
@@ -45,7 +45,9 @@
     assert pop_customers(queue)[:4] == ["flood", "small", "flood", "small"]
 
 
-def test_cost_counts_not_requests(queue: queueing.FairQueue) -> None:
+def test_fairness_counts_cost_and_not_requests(
+    queue: queueing.FairQueue,
+) -> None:
     for customer, cost in (("long", 9.0), ("long", 9.0), ("short", 3.0)):
         queue.push(waiting(customer, cost=cost))
     queue.push(waiting("short", cost=3.0))
@@ -84,5 +86,5 @@
     late = waiting("a", deadline_ms=5.0)
     queue.push(late)
     queue.push(waiting("a"))
-    assert queue.expired(clock.Millis(6.0)) == [late]
+    assert queue.pop_expired(clock.Millis(6.0)) == [late]
     assert len(queue) == 1
--- a/tests/direct/fleet/limited_fleet.py
+++ b/tests/direct/fleet/limited_fleet.py
@@ -141,7 +141,7 @@
             now_ms = self.virtual.now_ms()
             left_ms = OBJECTIVE_MS - (now_ms - started_ms)
             request = admission.Request(
-                wanted=upstream_choice.Wanted(
+                wanted=upstream_choice.RequestNeeds(
                     engine=None,
                     prompt_tokens=0,
                     events=1.0,
@@ -153,7 +153,9 @@
                 wait_max_ms=2_000.0,
                 objective_ms=OBJECTIVE_MS,
             )
-            places = upstream_choice.Places({entry.member.data_centre})
+            places = upstream_choice.PreferredLocations(
+                {entry.member.data_centre}
+            )
             views = entry.table.of(SERVICE)
             choice = admission.decide(views, request, places, now_ms, self.rng)
             if not isinstance(choice, upstream_choice.Choice):
@@ -200,7 +202,7 @@
     ) -> None:
         replica = self.replicas[view.replica.replica_id]
         sent_ms = self.virtual.now_ms()
-        view.note_sent(0, sent_ms)
+        view.record_sent(0, sent_ms)
         await self.sleep(self.rng.uniform(*WAY_MS))
         name = f"{entry.name}/{sent_ms}"
         replica.need.arrived(name)
@@ -210,7 +212,7 @@
         await self.sleep(self.rng.uniform(*WAY_MS))
         if not entry.running:
             return
-        view.note_ended()
+        view.record_ended()
         entry.limits.note_answer(view, answer(per_s), sent_ms)
         self.served += 1
 
