--- a/tests/core/test_direct_decisions.py
+++ b/tests/core/test_direct_decisions.py
@@ -188,7 +188,9 @@
 
 
 def test_engines_load_one_at_a_time_before_the_version_is_mandatory() -> None:
-    begins = [load_schedule().load_start_ms(share, 5_000.0) for share in shares(12)]
+    begins = [
+        load_schedule().load_start_ms(share, 5_000.0) for share in shares(12)
+    ]
     assert begins[-1] == 8_000.0 - swap_schedule.LATEST_MARGIN_MS
     assert begins[0] == begins[-1] - 1_900.0
     gaps = [later - sooner for sooner, later in itertools.pairwise(begins)]
@@ -204,7 +206,9 @@
 
     The origin was unavailable until then.
     """
-    begins = [load_schedule().load_start_ms(share, 7_700.0) for share in shares(12)]
+    begins = [
+        load_schedule().load_start_ms(share, 7_700.0) for share in shares(12)
+    ]
     assert begins.count(7_700.0) == 6
     # The other half serves the old version until the new one is mandatory.
     assert begins.count(8_000.0) == 6
@@ -212,12 +216,16 @@
 
 
 def test_second_half_loads_as_soon_as_the_first_half_serves_again() -> None:
-    begins = [load_schedule().load_start_ms(share, 7_400.0) for share in shares(12)]
+    begins = [
+        load_schedule().load_start_ms(share, 7_400.0) for share in shares(12)
+    ]
     assert begins.count(7_400.0 + 300.0 + swap_schedule.LATE_GAP_MS) == 6
 
 
 def test_pieces_that_arrive_after_the_bound_are_loaded_at_once() -> None:
-    begins = {load_schedule().load_start_ms(share, 8_100.0) for share in shares(12)}
+    begins = {
+        load_schedule().load_start_ms(share, 8_100.0) for share in shares(12)
+    }
     assert begins == {8_100.0}
 
 
