--- a/src/marlramp/core/manifest.py
+++ b/src/marlramp/core/manifest.py
@@ -72,7 +72,7 @@
     """
     if digest_of(data) != expected:
         raise ManifestError(
-            f"digest {digest_of(data)} differs from the published {expected}"
+            f"the digest is {digest_of(data)}, the published one is {expected}"
         )
     try:
         manifest = _decoder.decode(data)
@@ -80,8 +80,8 @@
         raise ManifestError(f"malformed: {error}") from error
     if manifest.chunk_bytes <= 0 or manifest.total_bytes <= 0:
         raise ManifestError(
-            f"chunk_bytes {manifest.chunk_bytes} and total_bytes "
-            f"{manifest.total_bytes} must be positive"
+            f"sizes must be positive: {manifest.chunk_bytes} bytes per chunk, "
+            f"{manifest.total_bytes} bytes in total"
         )
     count = -(-manifest.total_bytes // manifest.chunk_bytes)
     if count != len(manifest.chunks) or count > CHUNKS_MAX:
