--- a/src/marlramp/core/availability.py
+++ b/src/marlramp/core/availability.py
@@ -215,7 +215,11 @@
         return now_ms - self.sent_ms < TRIAL_MS
 
     def is_backing_off(self, now_ms: clock.Millis) -> bool:
-        """Returns whether only this entry's backoff restricts the replica."""
+        """Returns whether only this entry's backoff or trial can close it.
+
+        That holds after a refusal, while the replica is neither paused nor
+        gone.
+        """
         return self.refusals > 0 and self.is_open(now_ms)
 
     def closed_ms(self, now_ms: clock.Millis) -> float:
