--- a/src/marlramp/direct/__init__.py
+++ b/src/marlramp/direct/__init__.py
@@ -1,1 +1,1 @@
-"""The direct path: entries send requests straight to the replicas."""
+"""The direct path, on which entries send requests straight to replicas."""
--- a/src/marlramp/direct/agent_daemon.py
+++ b/src/marlramp/direct/agent_daemon.py
@@ -1,7 +1,7 @@
-"""The agent on the direct path: one process beside each model engine.
+"""The agent process of the direct path, one beside each model engine.
 
-It keeps the engine at the named weights and tells the entries how loaded the
-engine is. Requests do not pass through it.
+The agent keeps its engine at the named weights and reports the engine's load to
+the entries. Requests do not pass through the agent.
 """
 
 from __future__ import annotations
@@ -41,28 +41,31 @@
 
 TICK_MS = 100.0
 REPORT_POLL_MS = 100.0
-"""Between two reports read from the engine: half of the least time between two
-reports to entries. An engine's report is some 200 ms old, so that reading more
-often costs processor time and tells little."""
+"""Time between two reads of the engine's report, half of the least time between
+two reports to entries. An engine's report is about 200 ms old, so reading it
+more often costs processor time and returns little that is new."""
 
-TELL_NEAR_MS = 200.0
-"""Least time between two reports while only the load changes, to the entries
-of the own region: the others send here only what their own engines would begin
-later, and reports to all of them would grow with the square of the fleet."""
+NEAR_REPORT_MS = 200.0
+"""Least time between two reports to the entries of the agent's region while
+only the load changes.
 
-TELL_ALL_MS = 500.0
-"""Longest time between two reports to any entry: a third of the time that one
-counts."""
+Entries of other regions send requests to this engine only if their own engines
+would start them later, and the number of reports to all entries would grow with
+the square of the fleet's size."""
+
+REPORT_MAX_MS = 500.0
+"""Longest time between two reports to any entry, a third of the time for which
+a report is valid."""
 
 NEW_VERSION_MS = 2_000.0
-"""A version named this lately is held by no agent as a whole: fetching one
-takes twice as long."""
+"""Age of a version up to which no agent holds it completely, since fetching a
+version takes twice as long."""
 
 _MS = clock.MILLIS_PER_SECOND
 
 
 class AgentDaemon:
-    """Wires the agent's parts together."""
+    """Creates, connects and runs the parts of an agent."""
 
     def __init__(
         self,
@@ -73,13 +76,15 @@
 
         Args:
           settings: the settings in force.
-          load: reads them anew.
+          load: reads the settings file and returns its settings.
 
         Raises:
-          ValueError: if the settings name no replica.
+          ValueError: if the settings contain no replica address.
         """
         if settings.replica is None:
-            raise ValueError("an agent needs the address of its replica")
+            raise ValueError(
+                "an agent's settings must contain the address of its replica"
+            )
         self._settings = settings
         self._watch = settings_watch.SettingsWatch(
             load, settings, self._apply_settings
@@ -100,8 +105,8 @@
             self._own,
             clock.unix_ms(),
             settings.seeds,
-            self._place_peers,
-            self._place_relays,
+            self._set_peers,
+            self._set_relays,
             self._clock,
         )
         self._exchange = piece_exchange.PieceExchange(
@@ -113,22 +118,22 @@
             self._clock,
         )
         self._weights = named_weights.NamedWeights(
-            self._take_origin, self._clock
+            self._set_origin, self._clock
         )
         self._peers: dict[str, members.Member] = {}
         self._may_cut = False
-        self._reached: bool | None = None
+        self._is_reached: bool | None = None
         self._report: engine_state.EngineReport | None = None
-        self._told: replica_view.LoadReport | None = None
-        self._told_ms = float("-inf")
-        self._told_all_ms = float("-inf")
+        self._last_sent: replica_view.LoadReport | None = None
+        self._last_sent_ms = float("-inf")
+        self._last_sent_all_ms = float("-inf")
 
     def reload(self, reason: str) -> None:
-        """Reads the settings anew."""
+        """Reads the settings file again and applies what changed."""
         self._watch.check(reason)
 
     def drain(self, reason: str) -> None:
-        """Stops; the engine goes on serving without its agent."""
+        """Stops the agent; the engine continues to serve without it."""
         if self._lifecycle.phase is lifecycle.Phase.DRAINING:
             return
         logs.log("draining", reason=reason)
@@ -136,7 +141,7 @@
         self._stopping.set()
 
     async def run(self) -> None:
-        """Runs until drained."""
+        """Runs the agent until it is drained."""
         self._caller = http1_call.HttpCaller(self._clock)
         self._engine = replica_api.ReplicaApi(self._caller, self._replica)
         self._store = store.StoreClient(
@@ -147,23 +152,23 @@
             self,
             self._engine,
             self._exchange,
-            self._tell_now,
+            self._report_to_all,
             self._totals,
             self._clock,
         )
         await self._ports.open_free()
         logs.log("agent_started", replica=self._replica)
         async with asyncio.TaskGroup() as group:
-            works = {
+            loops = {
                 "piece_exchange": self._exchange.run,
                 "engine_watch": self._watch_engine,
                 "agent_ticks": self._tick_all,
                 "settings_watch": self._watch.run,
                 "weights_loader": self._loader.run,
-                "store_reads": self._learn_unguided,
+                "store_reads": self._read_unguided,
                 "ports": self._ports.run,
             }
-            tasks = safely.start_all(group, works, self._totals, self._clock)
+            tasks = safely.start_all(group, loops, self._totals, self._clock)
             await self._stopping.wait()
             for task in tasks:
                 task.cancel()
@@ -204,7 +209,7 @@
         self._ages = version_ages.VersionAges(
             self._weights.catalog,
             self._entry_links.send,
-            self._guide_to_ask,
+            self._pick_coordinator,
             self._clock,
         )
         self._crashes = crash_keeper.CrashKeeper(
@@ -217,33 +222,40 @@
         self._exchange.attach_relays(self._entry_links)
 
     def _apply_settings(self, settings: node.NodeSettings) -> None:
-        """Takes changed bounds and seeds; addresses need a restart."""
+        """Applies changed bounds and seeds; new addresses need a restart."""
         self._settings = settings
         self._contacts.set_seeds(settings.seeds)
 
-    # What the loader asks for.
+    # Methods that the weights loader calls.
 
     def wanted(self) -> version_digests.Wanted | None:
-        """Returns the weights to serve, None if they are not known."""
+        """Returns the weights to serve, None if they are unknown."""
         return self._weights.wanted()
 
     def report(self) -> engine_state.EngineReport | None:
-        """Returns the engine's last report, None while it is away."""
+        """Returns the engine's last report, None while it is unreachable."""
         return self._report
 
     async def read_report(self) -> engine_state.EngineReport | None:
-        """Reads a fresh report from the engine."""
+        """Reads a report from the engine.
+
+        A change of the weights, a restart of the engine and the start of its
+        shutdown are reported to all entries at once.
+
+        Returns:
+          The report, None if the engine cannot be reached.
+        """
         try:
             report = await self._engine.report()
         except clients.PlatformError as error:
-            if self._reached is not False:
+            if self._is_reached is not False:
                 logs.log("engine_lost", detail=error)
-            self._reached = False
+            self._is_reached = False
             self._report = None
             return None
-        if not self._reached:
+        if not self._is_reached:
             logs.log("engine_reached", weights=report.weights)
-        self._reached = True
+        self._is_reached = True
         before = self._report
         changed = before is None or before.weights != report.weights
         if before is not None and before.born_ms != report.born_ms:
@@ -254,29 +266,45 @@
             changed = True
         self._report = report
         if changed:
-            self._tell_now()
+            self._report_to_all()
         return report
 
     def begins_ms(
-        self, wanted: version_digests.Wanted, there_ms: float
+        self, wanted: version_digests.Wanted, pieces_ready_ms: float
     ) -> float:
-        """Returns when the engine may load pieces that are there then."""
-        share = swap_schedule.order_position(
+        """Returns when the engine may start to load a version.
+
+        Args:
+          wanted: the version.
+          pieces_ready_ms: when the engine's pieces are complete.
+
+        Returns:
+          A time on the agent's clock, minus infinity if the engine may load at
+          once.
+        """
+        position = swap_schedule.order_position(
             self._own.vm_id, list(self._peers), wanted.name
         )
-        return swap_schedule.load_start_ms(self._turns(wanted), share, there_ms)
+        return swap_schedule.load_start_ms(
+            self._schedule(wanted), position, pieces_ready_ms
+        )
 
     def drain_ms(
-        self, wanted: version_digests.Wanted, there_ms: float
+        self, wanted: version_digests.Wanted, pieces_ready_ms: float
     ) -> float:
-        """Returns how long what runs may go on before it is cut."""
-        turns = self._turns(wanted)
-        return 0.0 if turns is None else turns.drain_ms(there_ms)
+        """Returns how long running requests may continue before they are cut.
 
-    def _turns(
+        Args:
+          wanted: the version that the engine is about to load.
+          pieces_ready_ms: when the engine's pieces were complete.
+        """
+        schedule = self._schedule(wanted)
+        return 0.0 if schedule is None else schedule.drain_ms(pieces_ready_ms)
+
+    def _schedule(
         self, wanted: version_digests.Wanted
     ) -> swap_schedule.SwapSchedule | None:
-        """Returns the turns of a version, None if its age is not known."""
+        """Returns the schedule of a version, None if its age is unknown."""
         target = self._weights.target(wanted.model)
         held = 0 if self._report is None else self._report.weights
         named_ms = None if target is None else target.next_counts_from_ms(held)
@@ -290,7 +318,7 @@
         )
 
     def _spread_ms(self) -> float:
-        """Returns the time over which the engines begin to load."""
+        """Returns the time over which the engines start to load."""
         engine = self._weights.engine
         if engine is None:
             return swap_schedule.SPREAD_MIN_MS
@@ -301,23 +329,28 @@
         )
 
     def may_cut(self) -> bool:
-        """Returns whether streams that are cut go on at another engine."""
+        """Returns whether cut streams continue at another engine."""
         return self._may_cut
 
     def is_new(self, wanted: version_digests.Wanted) -> bool:
-        """Returns whether a version was named just now."""
+        """Returns whether a version is too new for any agent to hold it."""
         age_ms = self.age_ms(wanted)
         return age_ms is not None and age_ms < NEW_VERSION_MS
 
     def age_ms(self, wanted: version_digests.Wanted) -> float | None:
-        """Returns the least time since a version was named, None if unknown."""
+        """Returns the least possible age of a version, None if unknown."""
         target = self._weights.target(wanted.model)
         if target is None or target.named_by_ms is None:
             return None
         return self._clock.now_ms() - target.named_by_ms
 
     def limit_ms(self) -> float | None:
-        """Returns the least time in which a version can be loaded here."""
+        """Returns the least time in which this VM can fetch and load a version.
+
+        Returns:
+          The time that one copy takes on the VM's link plus the engine's load
+          time, None while the engine's specification is unknown.
+        """
         engine = self._weights.engine
         if engine is None:
             return None
@@ -341,22 +374,22 @@
         if isinstance(message, fleet_messages.VersionAges):
             self._ages.on_answer(name, message)
 
-    def _guide_to_ask(self) -> list[str]:
-        guides = self._contacts.guides
-        return [random.choice(guides)] if guides else []
+    def _pick_coordinator(self) -> list[str]:
+        coordinators = self._contacts.guides
+        return [random.choice(coordinators)] if coordinators else []
 
-    def _take_origin(self, origin: str) -> None:
+    def _set_origin(self, origin: str) -> None:
         self._exchange.set_origin(replica_api.OriginApi(self._caller, origin))
 
-    def _place_relays(self, entries: dict[str, members.Member]) -> None:
-        """Takes the entries dealt with: those near relay pieces."""
+    def _set_relays(self, entries: dict[str, members.Member]) -> None:
+        """Uses the near ones of the linked entries as relays of pieces."""
         near = self._settings.near_data_centres
         self._exchange.set_relays(
             [n for n, entry in entries.items() if entry.data_centre in near]
         )
 
-    def _place_peers(self, peers: dict[str, members.Member]) -> None:
-        """Takes the other agents, by VM."""
+    def _set_peers(self, peers: dict[str, members.Member]) -> None:
+        """Sets the other agents, by VM, as peers for the piece exchange."""
         self._peers = peers
         regions = self._settings.regions
         near = {
@@ -366,38 +399,43 @@
         }
         self._exchange.set_peers(peers, near)
 
-    # Regular work.
+    # Periodic work.
 
     async def _watch_engine(self) -> None:
         while True:
             await self.read_report()
             self._contacts.set_engine(present=self._report is not None)
-            self._tell_if_due()
+            self._report_if_due()
             await asyncio.sleep(REPORT_POLL_MS / _MS)
 
-    def _tell_if_due(self) -> None:
+    def _report_if_due(self) -> None:
         now_ms = self._clock.now_ms()
-        if now_ms - self._told_all_ms >= TELL_ALL_MS:
-            self._tell_now()
+        if now_ms - self._last_sent_all_ms >= REPORT_MAX_MS:
+            self._report_to_all()
             return
-        changed = _load_of(self._load_report()) != _load_of(self._told)
-        if changed and now_ms - self._told_ms >= TELL_NEAR_MS:
-            self._tell(self._is_near)
+        changed = _load_of(self._load_report()) != _load_of(self._last_sent)
+        if changed and now_ms - self._last_sent_ms >= NEAR_REPORT_MS:
+            self._send_report(self._is_near)
 
-    def _tell_now(self) -> None:
-        """Tells all entries, also that there is no engine to report of."""
-        self._told_all_ms = self._clock.now_ms()
-        self._tell(lambda _: True)
+    def _report_to_all(self) -> None:
+        """Sends a report to all entries.
+
+        The entries are also notified if the engine cannot be reached.
+        """
+        self._last_sent_all_ms = self._clock.now_ms()
+        self._send_report(lambda _: True)
 
     def _is_near(self, entry: members.Member) -> bool:
         return entry.data_centre in self._settings.near_data_centres
 
-    def _tell(self, within: Callable[[members.Member], bool]) -> None:
+    def _send_report(
+        self, is_receiver: Callable[[members.Member], bool]
+    ) -> None:
         report = self._load_report()
-        self._told = report
-        self._told_ms = self._clock.now_ms()
+        self._last_sent = report
+        self._last_sent_ms = self._clock.now_ms()
         self._contacts.broadcast(
-            fleet_messages.EngineNews(report=report), within
+            fleet_messages.EngineNews(report=report), is_receiver
         )
 
     def _load_report(self) -> replica_view.LoadReport | None:
@@ -418,20 +456,24 @@
         )
 
     def _closes_in_ms(self, report: engine_state.EngineReport) -> float | None:
-        """Returns the time until the engine's turn to load, None if none."""
+        """Returns the time until the engine cuts its requests to load.
+
+        Returns:
+          A time in milliseconds, None if the engine is not about to load.
+        """
         wanted = self.wanted()
         if wanted is None or report.weights in (0, wanted.version):
             return None
-        there_ms = self._exchange.arrives_in_ms(wanted)
-        if there_ms is None:
-            # What can't be loaded takes no request from this engine.
+        arrives_in_ms = self._exchange.arrives_in_ms(wanted)
+        if arrives_in_ms is None:
+            # A version that cannot be loaded must not keep requests away.
             return None
         now_ms = self._clock.now_ms()
-        there_at_ms = self._loader.there_ms(wanted)
-        if there_at_ms is None:
-            there_at_ms = now_ms + there_ms
-        cut_ms = self.begins_ms(wanted, there_at_ms)
-        cut_ms += self.drain_ms(wanted, there_at_ms)
+        ready_at_ms = self._loader.there_ms(wanted)
+        if ready_at_ms is None:
+            ready_at_ms = now_ms + arrives_in_ms
+        cut_ms = self.begins_ms(wanted, ready_at_ms)
+        cut_ms += self.drain_ms(wanted, ready_at_ms)
         return max(0.0, cut_ms - now_ms)
 
     async def _tick_all(self) -> None:
@@ -445,7 +487,7 @@
         self._crashes.tick()
         self._entry_links.close_idle()
 
-    async def _learn_unguided(self) -> None:
+    async def _read_unguided(self) -> None:
         await self._weights.learn_unguided(
             self._store, lambda: self._contacts.guided
         )
--- a/src/marlramp/direct/crash_pages.py
+++ b/src/marlramp/direct/crash_pages.py
@@ -1,4 +1,4 @@
-"""Shows the requests that crash replicas, and releases them, for operators."""
+"""Operators' pages that list requests that crash replicas and release them."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 
 class SuspectRow(msgspec.Struct, frozen=True, kw_only=True):
-    """A request that was under way when replicas crashed.
+    """A request that was in flight when replicas crashed.
 
     Attributes:
-      fingerprint: the request, as in the log lines of its attempts.
-      condemned: whether it is run no more.
-      strikes: crashes that it is a suspect of; half for each at which it had
-        brought a part of its answer.
-      crashes: replicas and their starts, "ID@BORN".
+      fingerprint: fingerprint of the request, as in its attempts' log lines.
+      condemned: whether the request is blocked, so that it is no longer run.
+      strikes: number of crashes that the request is a suspect of. A crash
+        before which it had returned a part of its answer counts half.
+      crashes: the crashed replicas and their start times, as "ID@BORN".
     """
 
     fingerprint: str
@@ -38,18 +38,22 @@
 
 
 class Released(msgspec.Struct, frozen=True):
-    """Answer to a release: the crashes that the request was cleared of."""
+    """Answer to a release.
+
+    Attributes:
+      crashes: number of crashes that the request was cleared of.
+    """
 
     crashes: int
 
 
 def rows_of(record: crash_record.CrashRecord) -> list[SuspectRow]:
-    """Returns the suspects, those with the most strikes first."""
-    condemned = record.ledger.blocked()
+    """Returns the suspects in descending order of strikes."""
+    blocked = record.ledger.blocked()
     rows = [
         SuspectRow(
             fingerprint=fingerprint,
-            condemned=fingerprint in condemned,
+            condemned=fingerprint in blocked,
             strikes=record.ledger.strikes(fingerprint),
             crashes=sorted(crashes),
         )
@@ -61,11 +65,12 @@
 def build(
     record: crash_record.CrashRecord, on_change: Callable[[], None]
 ) -> side_server.Pages:
-    """Returns the pages.
+    """Returns the pages that list and release requests.
 
     Args:
-      record: the crashes known.
-      on_change: hears that a request was released, for the other entries.
+      record: the known crashes.
+      on_change: is called when a request was released, to notify the other
+        entries.
     """
 
     async def show(_: str) -> side_server.Page:
@@ -73,11 +78,11 @@
         return side_server.Page(_OK, _JSON, body)
 
     async def release(query: str) -> side_server.Page:
-        (told,) = urllib.parse.parse_qs(query).get("fingerprint", [""])[:1]
-        cleared = record.clear(ids.Fingerprint(told))
+        (text,) = urllib.parse.parse_qs(query).get("fingerprint", [""])[:1]
+        cleared = record.clear(ids.Fingerprint(text))
         if not cleared:
             return side_server.Page(_NOT_FOUND, b"text/plain", b"")
-        logs.log("request_cleared", fingerprint=told, crashes=cleared)
+        logs.log("request_cleared", fingerprint=text, crashes=cleared)
         on_change()
         body = msgspec.json.encode(Released(cleared))
         return side_server.Page(_OK, _JSON, body)
--- a/src/marlramp/direct/entry_daemon.py
+++ b/src/marlramp/direct/entry_daemon.py
@@ -1,4 +1,8 @@
-"""The entry on the direct path: one process on each entry VM."""
+"""The entry process of the direct path, one on each entry VM.
+
+The entry receives callers' requests and forwards them to replicas. It also
+answers address lookups, readiness checks and the operators' pages.
+"""
 
 from __future__ import annotations
 
@@ -43,23 +47,26 @@
 
 TICK_MS = 100.0
 LOOKUP_TTL_MS = 2_000.0
-"""How long callers keep addresses: short, so that they leave a VM that went
-down; each caller asks again that often."""
+"""How long callers cache the addresses of a lookup. It is short, so that
+callers leave a VM that is down; each caller repeats its lookup this often."""
 
 LEAVE_ACCEPT_MS = 2_800.0
-"""After SIGTERM requests are taken this long. A stream may run for 6 s and the
-process ends 7.3 s after the signal, so that what is taken later could be cut;
-it is refused at once instead, and its caller goes to another entry."""
+"""How long the entry accepts requests after SIGTERM. A stream may run for 6 s
+and the process ends 7.3 s after the signal, so requests that are accepted later
+could be cut. They are refused at once instead, and their callers go to another
+entry."""
 
 LEAVE_IDLE_CLOSE_MS = 2_800.0
+"""Time after SIGTERM from which idle connections are closed."""
+
 LEAVE_MARGIN_MS = 700.0
-"""The process ends this long before it would be killed."""
+"""How long before it would be killed the process ends."""
 
 _MS = clock.MILLIS_PER_SECOND
 
 
 class EntryDaemon:
-    """Wires the entry's parts together."""
+    """Creates, connects and runs the parts of an entry."""
 
     def __init__(
         self,
@@ -70,13 +77,13 @@
 
         Args:
           settings: the settings in force.
-          load: reads them anew.
+          load: reads the settings file and returns its settings.
 
         Raises:
-          ValueError: if the settings are not those of an entry.
+          ValueError: if the settings contain no addresses of an entry.
         """
         if settings.entry is None:
-            raise ValueError("an entry needs its addresses")
+            raise ValueError("an entry's settings must contain its addresses")
         self._settings = settings
         self._watch = settings_watch.SettingsWatch(
             load, settings, self._apply_settings
@@ -105,10 +112,10 @@
             self._catalog,
             self._table,
             self._crashes,
-            self._changed,
+            self._apply_changes,
             self._forget,
             self._set_cell,
-            self._note_leaving,
+            self._handle_leaving,
             self._totals,
             self._clock,
         )
@@ -135,28 +142,28 @@
             self._forwarder.handle, self, self._clock
         )
         self._side = self._build_side()
-        self._left_ms: float | None = None
+        self._leaving_since_ms: float | None = None
 
     def reload(self, reason: str) -> None:
-        """Reads the settings anew."""
+        """Reads the settings file again and applies what changed."""
         self._watch.check(reason)
 
     def drain(self, reason: str) -> None:
-        """Leaves the addresses, finishes what runs, then stops."""
+        """Leaves the lookup, finishes the running requests, then stops."""
         if self._lifecycle.phase is lifecycle.Phase.DRAINING:
             return
         logs.log("draining", reason=reason)
         self._lifecycle.drain()
-        self._left_ms = self._clock.now_ms()
+        self._leaving_since_ms = self._clock.now_ms()
         self._stopping.set()
 
     async def run(self) -> None:
-        """Runs until drained."""
+        """Runs the entry until it is drained."""
         self._build_shell()
         await self._ports.open_free()
         logs.log("entry_started", callers=self._addresses.callers)
         async with asyncio.TaskGroup() as group:
-            works = {
+            loops = {
                 "store_reader": self._reader.run,
                 "entry_ticks": self._tick_all,
                 "settings_watch": self._watch.run,
@@ -164,7 +171,7 @@
                 "piece_relay": self._fleet.relay_pieces,
                 "ports": self._ports.run,
             }
-            tasks = safely.start_all(group, works, self._totals, self._clock)
+            tasks = safely.start_all(group, loops, self._totals, self._clock)
             await self._stopping.wait()
             await self._leave()
             for task in tasks:
@@ -228,7 +235,7 @@
         return side_server.SideServer(pages, addresses, self._clock)
 
     async def _leave(self) -> None:
-        """Lets callers go elsewhere and finishes their requests."""
+        """Finishes the running requests while callers go to other entries."""
         start_ms = self._clock.now_ms()
         end_ms = start_ms + self._settings.bounds.grace_ms - LEAVE_MARGIN_MS
         while self._clock.now_ms() < end_ms:
@@ -243,43 +250,43 @@
         self._callers.close_idle()
 
     def _apply_settings(self, settings: node.NodeSettings) -> None:
-        """Takes changed bounds and seeds; addresses need a restart."""
+        """Applies changed bounds and seeds; new addresses need a restart."""
         self._settings = settings
         self._fleet.set_settings(settings)
         self._forwarder.set_settings(settings)
 
-    # What the forwarder and the caller server ask for.
+    # Methods that the forwarder and the caller server call.
 
     @property
     def routes(self) -> route_table.RouteTable | None:
-        """The configuration in force, None before the first."""
+        """The routes in force, None before the first configuration."""
         return self._routes
 
     @property
     def entries(self) -> int:
-        """The most entries known lately."""
+        """The largest number of entries known recently."""
         return self._fleet.entries
 
     def refuses(self) -> bool:
-        """Whether this entry takes no new requests."""
+        """Returns whether this entry refuses new requests."""
         return (
-            self._left_ms is not None
-            and self._clock.now_ms() - self._left_ms > LEAVE_ACCEPT_MS
+            self._leaving_since_ms is not None
+            and self._clock.now_ms() - self._leaving_since_ms > LEAVE_ACCEPT_MS
         )
 
     @property
     def closing(self) -> bool:
-        """Whether connections are closed after their answer."""
-        return self._left_ms is not None
+        """Whether each connection is closed after its current answer."""
+        return self._leaving_since_ms is not None
 
     def limits(self) -> fleet.CallerLimits:
-        """Returns the bounds on callers in force."""
+        """Returns the limits on callers in force."""
         if self._catalog.config is None:
             return fleet.CallerLimits()
         return self._catalog.config.limits
 
     def refused(self, error: errors.CallError) -> None:
-        """Counts and logs a request that could not be read."""
+        """Counts and logs a request that could not be parsed."""
         self._totals.add(counters.CounterName.REFUSALS, error.kind.value)
         logs.log("request_unreadable", kind=error.kind.value)
 
@@ -289,46 +296,52 @@
         return self._state() is members.MemberState.READY
 
     def _state(self) -> members.MemberState:
-        if self._left_ms is not None:
+        if self._leaving_since_ms is not None:
             return members.MemberState.LEAVING
         if self._routes is None or not self._callers.listening:
             return members.MemberState.STARTING
         return members.MemberState.READY
 
     def _lookup(self, data_centre: str) -> list[str]:
-        """Returns the entries for callers of a data centre, else this one."""
+        """Returns the addresses of the entries for callers of a data centre.
+
+        Without another ready entry this entry is included even if it is not
+        ready itself.
+        """
         found = self._fleet.ready_entries()
         if self._is_ready() or not found:
             found.append(self._own)
         data_centres = list(self._settings.regions)
-        named = lookup_share.entries_for(data_centre, data_centres, found)
-        return sorted(entry.callers for entry in named)
+        selected = lookup_share.entries_for(data_centre, data_centres, found)
+        return sorted(entry.callers for entry in selected)
 
-    # What changed.
+    # Changes of the fleet.
 
-    def _changed(self, changes: list[catalog.Change]) -> None:
-        """Takes over what changed in the catalog."""
+    def _apply_changes(self, changes: list[catalog.Change]) -> None:
+        """Updates the replica table and the routes from the catalog."""
         now_ms = self._clock.now_ms()
         self._forget(self._table.sync(self._catalog, now_ms))
-        configured = any(isinstance(c, catalog.ConfigChange) for c in changes)
-        if configured and self._catalog.config is not None:
+        has_new_config = any(
+            isinstance(c, catalog.ConfigChange) for c in changes
+        )
+        if has_new_config and self._catalog.config is not None:
             self._routes = route_table.RouteTable(self._catalog.config)
             self._lifecycle.serve()
 
     def _set_cell(self, hosts: list[str]) -> None:
-        """Takes the addresses of the VMs whose engines belong to the cell."""
+        """Sets the hosts of the VMs whose engines belong to the cell."""
         self._forwarder.set_cell(hosts)
 
-    def _note_leaving(self, view: replica_view.ReplicaView) -> None:
-        """Takes a replica that its agent reports to leave."""
+    def _handle_leaving(self, view: replica_view.ReplicaView) -> None:
+        """Handles an agent's report that its replica leaves."""
         self._forwarder.note_leaving(view)
 
     def _forget(self, replica_ids: list[str]) -> None:
-        """Drops what is kept of replicas that are gone."""
+        """Drops the state that is kept of removed replicas."""
         self._forwarder.forget(replica_ids)
         self._fleet.forget(replica_ids)
 
-    # Regular work.
+    # Periodic work.
 
     async def _tick_all(self) -> None:
         while True:
@@ -340,9 +353,9 @@
         self._fleet.sync.set_state(self._state())
         self._fleet.tick()
         self._links.close_idle()
-        gone = self._catalog.tick(now_ms)
-        for replica_id in gone:
+        removed = self._catalog.tick(now_ms)
+        for replica_id in removed:
             logs.log("replica_gone", replica=replica_id)
-        if gone:
+        if removed:
             self._forget(self._table.sync(self._catalog, now_ms))
         self._forwarder.tick()
--- a/src/marlramp/direct/launch.py
+++ b/src/marlramp/direct/launch.py
@@ -1,7 +1,7 @@
-"""Starts the daemon of the direct path, with as little as it needs to serve.
+"""Starts the daemon of the direct path with as few imports as possible.
 
-A process that starts serves nobody until its modules are loaded. Nothing here
-imports the command line, the metrics exporter or the grants path.
+A process serves no request until its modules are loaded. This module therefore
+does not import the command line, the metrics exporter or the grants path.
 """
 
 from __future__ import annotations
@@ -24,25 +24,27 @@
 EXIT_SETTINGS_REFUSED = 3
 
 SETTINGS_WAIT_MS = 1_000.0
+"""How long an invalid settings file is read again at the start. A file that is
+being written is complete within milliseconds, and a process that exits instead
+serves nothing until it is restarted."""
+
 SETTINGS_RETRY_MS = 50.0
-"""How long, and how often, a settings file that can't be used is read again at
-the start: one that is being written is whole within milliseconds, and a process
-that ends instead serves nothing until it is restarted."""
+"""Time between two reads of an invalid settings file at the start."""
 
 
 class Daemon(Protocol):
     """A process that runs until it is drained."""
 
     def drain(self, reason: str) -> None:
-        """Finishes what runs, then stops."""
+        """Finishes the running requests, then stops."""
         ...
 
     def reload(self, reason: str) -> None:
-        """Reads the settings anew."""
+        """Reads the settings file again and applies what changed."""
         ...
 
     async def run(self) -> None:
-        """Runs until drained."""
+        """Runs the process until it is drained."""
         ...
 
 
@@ -59,9 +61,13 @@
     return agent_daemon.AgentDaemon(settings, load)
 
 
-async def run(make: Callable[[], Daemon]) -> None:
-    """Runs a daemon until a signal drains it."""
-    daemon = make()
+async def run(create_daemon: Callable[[], Daemon]) -> None:
+    """Runs a daemon until a signal drains it.
+
+    Args:
+      create_daemon: creates the daemon inside the running event loop.
+    """
+    daemon = create_daemon()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         name = signal.Signals(number).name
@@ -71,12 +77,12 @@
 
 
 def is_on_platform() -> bool:
-    """Returns whether the platform names a settings file."""
+    """Returns whether the environment names the platform's settings file."""
     return bool(os.environ.get(platform_settings.SETTINGS_VARIABLE))
 
 
 def run_on_platform() -> int:
-    """Runs with the settings file that the platform names.
+    """Runs a daemon with the settings file that the platform names.
 
     Returns:
       The process's exit code.
@@ -90,24 +96,26 @@
         )
         return EXIT_SETTINGS_REFUSED
     try:
-        settings = _read_settled(path, clock.SystemClock())
+        settings = _read_with_retry(path, clock.SystemClock())
     except node.NodeSettingsError as error:
         for problem in error.problems:
             print(f"marlrampd: {problem}", file=sys.stderr)
         return EXIT_SETTINGS_REFUSED
     logs.start_logging(settings.vm_id, sys.stdout)
     try:
-        asyncio.run(run(lambda: create(settings, _reader(path))))
+        asyncio.run(run(lambda: create(settings, _settings_loader(path))))
     finally:
         logs.stop_logging()
     return EXIT_OK
 
 
-def _read_settled(path: pathlib.Path, time: clock.Clock) -> node.NodeSettings:
-    """Returns the settings in a file that may still be written.
+def _read_with_retry(
+    path: pathlib.Path, time: clock.Clock
+) -> node.NodeSettings:
+    """Returns the settings in a file that may still be being written.
 
     Raises:
-      NodeSettingsError: if the file still can't be used after some time.
+      NodeSettingsError: if the file is still invalid after SETTINGS_WAIT_MS.
     """
     end_ms = time.now_ms() + SETTINGS_WAIT_MS
     while True:
@@ -119,5 +127,5 @@
         blocking_time.sleep(SETTINGS_RETRY_MS / clock.MILLIS_PER_SECOND)
 
 
-def _reader(path: pathlib.Path) -> Callable[[], node.NodeSettings]:
+def _settings_loader(path: pathlib.Path) -> Callable[[], node.NodeSettings]:
     return lambda: platform_settings.read(path)
--- a/src/marlramp/direct/limit_pages.py
+++ b/src/marlramp/direct/limit_pages.py
@@ -1,4 +1,7 @@
-"""Shows the replicas that name a limit over all entries, for operators."""
+"""Operators' page that lists the replicas with a rate limit.
+
+Such a limit applies to all entries together.
+"""
 
 from __future__ import annotations
 
@@ -16,16 +19,18 @@
 
 
 class LimitRow(msgspec.Struct, frozen=True, kw_only=True):
-    """A replica that names a limit.
+    """A replica that announces a rate limit.
 
     Attributes:
-      replica: its id.
-      service: the service that it belongs to.
-      limit_per_s: requests a second that it takes from all entries together.
-      age_ms: time since it was last known to name it.
-      reserved_by: VMs of the entries that reserve requests to it, the first one
-        first.
-      room_in_ms: time until this entry expects room for one more request.
+      replica: id of the replica.
+      service: the service that the replica belongs to.
+      limit_per_s: requests per second that the replica accepts from all entries
+        together.
+      age_ms: time since the limit was last observed.
+      reserved_by: VMs of the replica's limiters, the entries that reserve sends
+        to it, the primary before the standby.
+      room_in_ms: time until this entry expects that the limit admits one more
+        request.
     """
 
     replica: str
@@ -41,17 +46,17 @@
     table: replica_table.ReplicaTable,
     now_ms: clock.Millis,
 ) -> list[LimitRow]:
-    """Returns the replicas that name a limit, ordered by service and id."""
+    """Returns the replicas with a rate limit, ordered by service and id."""
     rows = []
-    for replica_id, known in limits.known.in_force().items():
+    for replica_id, limit in limits.known.in_force().items():
         view = table.get(replica_id)
-        if view is None or known.per_s is None:
+        if view is None or limit.per_s is None:
             continue
         row = LimitRow(
             replica=replica_id,
             service=view.replica.service_id,
-            limit_per_s=known.per_s,
-            age_ms=round(now_ms - known.observed_ms),
+            limit_per_s=limit.per_s,
+            age_ms=round(now_ms - limit.observed_ms),
             reserved_by=limits.limiters_of(view),
             room_in_ms=round(view.limit_wait_ms(now_ms)),
         )
@@ -64,7 +69,7 @@
     table: replica_table.ReplicaTable,
     time: clock.Clock,
 ) -> side_server.Pages:
-    """Returns the pages."""
+    """Returns the page that lists the rate limits."""
 
     async def show(_: str) -> side_server.Page:
         body = msgspec.json.encode(rows_of(limits, table, time.now_ms()))
--- a/src/marlramp/direct/metrics.py
+++ b/src/marlramp/direct/metrics.py
@@ -1,4 +1,7 @@
-"""Counters and latency histograms, exported when they are first asked for."""
+"""Counters and latency histograms of one process.
+
+The exporter is loaded when the metrics are first requested.
+"""
 
 from __future__ import annotations
 
@@ -9,23 +12,28 @@
 
 from marlramp import counters
 
-WAITING_MAX = 10_000
-"""Latencies kept until the metrics are first asked for; older ones are left
-out of the histograms then."""
+PENDING_MAX = 10_000
+"""Most latencies kept until the metrics are first requested. Older ones are
+missing from the histograms."""
 
 
 class Latency(enum.Enum):
-    """What is measured, by the name of its histogram, in milliseconds."""
+    """Name of a latency's histogram, in milliseconds.
+
+    Attributes:
+      FIRST_EVENT: from a send to the first event of a stream.
+      ANSWER: from a request to the end of its answer.
+    """
 
     FIRST_EVENT = "marlramp_first_event"
     ANSWER = "marlramp_answer"
 
 
 class Exporter(Protocol):
-    """Gives metrics as text."""
+    """Exports metrics as text."""
 
-    def record(self, latency: Latency, taken_ms: float) -> None:
-        """Takes a latency."""
+    def record(self, latency: Latency, elapsed_ms: float) -> None:
+        """Adds a latency to its histogram."""
         ...
 
     def text(self) -> bytes:
@@ -36,46 +44,51 @@
 class Metrics:
     """All metrics of one process on the direct path.
 
-    The exporter's libraries take 0.05 s of processor time to import and 6 MB:
-    a process that starts serves callers sooner without them, and one whose
-    metrics nobody reads never pays for them.
+    The import of the exporter's libraries takes 0.05 s of processor time and
+    6 MB. A process therefore imports them when its metrics are first requested:
+    it starts to serve callers sooner, and a process whose metrics are never
+    read does without them.
     """
 
     def __init__(self, totals: counters.Counters) -> None:
-        """Exports `totals` and the latencies that are recorded."""
+        """Creates metrics without loading the exporter.
+
+        Args:
+          totals: the counters to export.
+        """
         self._totals = totals
         self._exporter: Exporter | None = None
-        self._loading = asyncio.Lock()
-        self._waiting: collections.deque[tuple[Latency, float]] = (
-            collections.deque(maxlen=WAITING_MAX)
+        self._load_lock = asyncio.Lock()
+        self._pending: collections.deque[tuple[Latency, float]] = (
+            collections.deque(maxlen=PENDING_MAX)
         )
 
-    def record_first_event(self, taken_ms: float) -> None:
-        """Takes the time from a send to the first event of a stream."""
-        self._record(Latency.FIRST_EVENT, taken_ms)
+    def record_first_event(self, elapsed_ms: float) -> None:
+        """Records the time from a send to the first event of a stream."""
+        self._record(Latency.FIRST_EVENT, elapsed_ms)
 
-    def record_answer(self, taken_ms: float) -> None:
-        """Takes the time from a request to the end of its answer."""
-        self._record(Latency.ANSWER, taken_ms)
+    def record_answer(self, elapsed_ms: float) -> None:
+        """Records the time from a request to the end of its answer."""
+        self._record(Latency.ANSWER, elapsed_ms)
 
     async def text(self) -> bytes:
         """Returns all metrics in the Prometheus text format."""
-        async with self._loading:
+        async with self._load_lock:
             if self._exporter is None:
-                # In a thread, so that requests go on meanwhile.
-                self._exporter = await asyncio.to_thread(self._load)
-                for latency, taken_ms in self._waiting:
-                    self._exporter.record(latency, taken_ms)
-                self._waiting.clear()
+                # A thread imports it, so that the event loop is not blocked.
+                self._exporter = await asyncio.to_thread(self._load_exporter)
+                for latency, elapsed_ms in self._pending:
+                    self._exporter.record(latency, elapsed_ms)
+                self._pending.clear()
         return self._exporter.text()
 
-    def _record(self, latency: Latency, taken_ms: float) -> None:
+    def _record(self, latency: Latency, elapsed_ms: float) -> None:
         if self._exporter is None:
-            self._waiting.append((latency, taken_ms))
+            self._pending.append((latency, elapsed_ms))
         else:
-            self._exporter.record(latency, taken_ms)
+            self._exporter.record(latency, elapsed_ms)
 
-    def _load(self) -> Exporter:
+    def _load_exporter(self) -> Exporter:
         from marlramp.direct import metrics_exporter
 
         return metrics_exporter.MetricsExporter(self._totals)
--- a/src/marlramp/direct/metrics_exporter.py
+++ b/src/marlramp/direct/metrics_exporter.py
@@ -1,4 +1,7 @@
-"""Counters and latency histograms as Prometheus text, by OpenTelemetry."""
+"""Exports counters and latency histograms as Prometheus text.
+
+The instruments are OpenTelemetry's.
+"""
 
 from __future__ import annotations
 
@@ -15,10 +18,14 @@
 
 
 class MetricsExporter:
-    """All instruments of one process on the direct path."""
+    """OpenTelemetry instruments of one process on the direct path."""
 
     def __init__(self, totals: counters.Counters) -> None:
-        """Registers the counters with a reader of their own."""
+        """Creates the instruments and the reader that collects them.
+
+        Args:
+          totals: the counters to export.
+        """
         self._totals = totals
         reader = otel_prometheus.PrometheusMetricReader()
         provider = otel_sdk.MeterProvider(metric_readers=[reader])
@@ -32,9 +39,9 @@
             for latency in metrics.Latency
         }
 
-    def record(self, latency: metrics.Latency, taken_ms: float) -> None:
-        """Takes a latency."""
-        self._histograms[latency].record(taken_ms)
+    def record(self, latency: metrics.Latency, elapsed_ms: float) -> None:
+        """Adds a latency to its histogram."""
+        self._histograms[latency].record(elapsed_ms)
 
     def text(self) -> bytes:
         """Returns all metrics in the Prometheus text format."""
--- a/src/marlramp/direct/pause_pages.py
+++ b/src/marlramp/direct/pause_pages.py
@@ -1,4 +1,4 @@
-"""Shows the replicas that want no requests for now, for operators."""
+"""Operators' page that lists replicas that leave, pause or refuse requests."""
 
 from __future__ import annotations
 
@@ -19,7 +19,13 @@
 
 
 class PauseState(enum.Enum):
-    """Why a replica gets no requests, or one at a time."""
+    """Why a replica receives no requests, or one at a time.
+
+    Attributes:
+      LEAVING: the replica announced that it shuts down.
+      PAUSED: the replica asked for a pause.
+      REFUSING: the replica refused its last requests.
+    """
 
     LEAVING = "leaving"
     PAUSED = "paused"
@@ -27,15 +33,17 @@
 
 
 class PauseRow(msgspec.Struct, frozen=True, kw_only=True):
-    """A replica that wants no requests for now, as this entry knows it.
+    """A replica that leaves, pauses or refuses, as known to this entry.
 
     Attributes:
-      replica: its id.
-      service: the service that it belongs to.
-      state: why.
-      age_ms: time since it first said so, None if it only refuses.
-      opens_in_ms: time until it may be asked again, None if it leaves.
-      refusals: refusals in a row.
+      replica: id of the replica.
+      service: the service that the replica belongs to.
+      state: why the replica receives no requests, or one at a time.
+      age_ms: time since the replica announced the pause or that it leaves, None
+        if it only refuses requests.
+      opens_in_ms: time until the replica may be sent a request again, None
+        if it leaves.
+      refusals: number of consecutive refusals.
     """
 
     replica: str
@@ -49,28 +57,28 @@
 def rows_of(
     table: replica_table.ReplicaTable, now_ms: clock.Millis
 ) -> list[PauseRow]:
-    """Returns the replicas that want no requests, by service and id."""
+    """Returns the rows, ordered by service and replica id."""
     rows = [_row(view, now_ms) for view in table]
-    found = [row for row in rows if row is not None]
-    return sorted(found, key=lambda row: (row.service, row.replica))
+    listed = [row for row in rows if row is not None]
+    return sorted(listed, key=lambda row: (row.service, row.replica))
 
 
 def _row(
     view: replica_view.ReplicaView, now_ms: clock.Millis
 ) -> PauseRow | None:
-    known = view.availability
+    availability = view.availability
     since_ms: float | None = None
-    opens_in_ms = known.closed_ms(now_ms)
-    if known.leaving_since_ms is not None:
+    opens_in_ms = availability.closed_ms(now_ms)
+    if availability.leaving_since_ms is not None:
         state = PauseState.LEAVING
-        since_ms = known.leaving_since_ms
+        since_ms = availability.leaving_since_ms
         opens_in_ms = math.inf
-    elif known.is_paused(now_ms):
+    elif availability.is_paused(now_ms):
         state = PauseState.PAUSED
-        since_ms = known.paused_since_ms
-    elif known.refusals:
+        since_ms = availability.paused_since_ms
+    elif availability.refusals:
         state = PauseState.REFUSING
-        opens_in_ms = known.backoff_ms(now_ms)
+        opens_in_ms = availability.backoff_ms(now_ms)
     else:
         return None
     return PauseRow(
@@ -79,14 +87,14 @@
         state=state,
         age_ms=None if since_ms is None else round(now_ms - since_ms),
         opens_in_ms=None if math.isinf(opens_in_ms) else round(opens_in_ms),
-        refusals=known.refusals,
+        refusals=availability.refusals,
     )
 
 
 def build(
     table: replica_table.ReplicaTable, time: clock.Clock
 ) -> side_server.Pages:
-    """Returns the pages."""
+    """Returns the page that lists the replicas."""
 
     async def show(_: str) -> side_server.Page:
         body = msgspec.json.encode(rows_of(table, time.now_ms()))
--- a/src/marlramp/direct/settings_watch.py
+++ b/src/marlramp/direct/settings_watch.py
@@ -1,4 +1,4 @@
-"""Notices changes of the settings file, signalled or not."""
+"""Applies changes of the settings file, with or without a signal."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from marlramp.settings import node
 
 CHECK_MS = 1_000.0
-"""Between two looks at the file: it may change without a signal."""
+"""Time between two reads of the file, which may change without a signal."""
 
 
 class SettingsWatch:
-    """Reads the settings anew and hands over what changed."""
+    """Reads the settings file again and applies changed settings."""
 
     def __init__(
         self,
@@ -22,22 +22,35 @@
         current: node.NodeSettings,
         apply: Callable[[node.NodeSettings], None],
     ) -> None:
-        """Starts from the settings in force."""
+        """Creates a watch.
+
+        Args:
+          load: reads the settings file and returns its settings.
+          current: the settings in force.
+          apply: applies changed settings.
+        """
         self._load = load
         self._current = current
         self._apply = apply
-        self._refused: list[str] = []
+        self._refused_problems: list[str] = []
 
     def check(self, reason: str) -> None:
-        """Reads the file; a file that can't be used changes nothing."""
+        """Reads the file and applies its settings if they changed.
+
+        An invalid file changes nothing. Its problems are logged once, until
+        they change or the file is valid again.
+
+        Args:
+          reason: why the file is read, for the log.
+        """
         try:
             read = self._load()
         except node.NodeSettingsError as error:
-            if error.problems != self._refused:
+            if error.problems != self._refused_problems:
                 logs.log("settings_refused", reason=reason, detail=error)
-            self._refused = error.problems
+            self._refused_problems = error.problems
             return
-        self._refused = []
+        self._refused_problems = []
         if read == self._current:
             return
         changed = [
@@ -50,7 +63,7 @@
         self._apply(read)
 
     async def run(self) -> None:
-        """Looks at the file for ever."""
+        """Checks the file once per second until cancelled."""
         while True:
             await asyncio.sleep(CHECK_MS / clock.MILLIS_PER_SECOND)
             self.check("changed")
--- a/src/marlramp/direct/side_server.py
+++ b/src/marlramp/direct/side_server.py
@@ -1,8 +1,8 @@
-"""Answers the calls beside the requests: addresses, readiness, metrics.
+"""Serves pages other than callers' requests: lookup, readiness, metrics.
 
-They are answered by the server that takes callers' requests: an own framework
-for them would cost 0.05 s of processor time at the start of each process,
-during which nobody is served.
+The pages use the HTTP server that also serves callers' requests. A separate web
+framework would cost 0.05 s of processor time at the start of each process,
+during which the process serves no request.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 from marlramp.shell import port_opener
 
 METRICS_PORT = 9_464
-"""Port of the metrics on every VM, by OpenTelemetry's custom; the platform
-gives no address for them, and its own ports change from day to day."""
+"""Port of the metrics on every VM, OpenTelemetry's customary one. The platform
+assigns no address for metrics, and the ports that it assigns change daily."""
 
 METRICS_PATH = "/metrics"
 
@@ -34,7 +34,7 @@
 
 
 class Page(msgspec.Struct, frozen=True):
-    """One answer.
+    """Answer to a request for a page.
 
     Attributes:
       status: HTTP status code.
@@ -48,25 +48,29 @@
 
 
 Pages: TypeAlias = Mapping[str, Callable[[str], Awaitable[Page]]]
-"""What answers each path, or each "METHOD path"; takes the query."""
+"""Handlers by path or by "METHOD path". A handler receives the query string."""
 
 
 def metrics_address(settings: node.NodeSettings) -> node.Address:
-    """Returns where a process shows its metrics."""
+    """Returns the address at which a process serves its metrics."""
     return node.Address(settings.host, METRICS_PORT)
 
 
 def metrics_pages(text: Callable[[], Awaitable[bytes]]) -> Pages:
-    """Returns the page with the metrics, which `text` gives."""
+    """Returns the metrics page.
 
-    async def show(_: str) -> Page:
+    Args:
+      text: returns the metrics in the Prometheus text format.
+    """
+
+    async def serve(_: str) -> Page:
         return Page(_OK, b"text/plain", await text())
 
-    return {METRICS_PATH: show}
+    return {METRICS_PATH: serve}
 
 
 class SideServer:
-    """The same pages on several addresses."""
+    """Serves one set of pages on several addresses."""
 
     def __init__(
         self,
@@ -74,11 +78,11 @@
         addresses: Mapping[str, node.Address],
         time: clock.Clock,
     ) -> None:
-        """Binds nothing before its openings are started.
+        """Creates the servers; no port is bound before its opening is started.
 
         Args:
-          pages: what is answered.
-          addresses: where, by what each address is for.
+          pages: the handlers.
+          addresses: the addresses by name; the name appears in log lines.
           time: the clock.
         """
         self._pages = pages
@@ -98,24 +102,24 @@
         ]
 
     def stop(self) -> None:
-        """Stops listening and closes connections without a call."""
+        """Stops listening and closes idle connections."""
         for server in self._servers.values():
             server.stop_listening()
             server.close_idle()
 
-    # What the server asks for.
+    # Methods that the HTTP server calls.
 
     @property
     def closing(self) -> bool:
-        """Whether connections are closed after their answer."""
+        """Whether each connection is closed after its current answer."""
         return False
 
     def limits(self) -> fleet.CallerLimits:
-        """Returns the bounds on those who call."""
+        """Returns the limits on callers, which are the defaults."""
         return fleet.CallerLimits()
 
     def refused(self, error: errors.CallError) -> None:
-        """Logs a call that could not be read."""
+        """Logs a request that could not be parsed."""
         logs.log("side_call_unreadable", kind=error.kind.value)
 
     async def _answer(
@@ -125,16 +129,16 @@
     ) -> None:
         path, _, query = request.target.partition(b"?")
         name = path.decode("latin-1")
-        page = self._pages.get(f"{request.method} {name}")
-        page = page or self._pages.get(name)
-        if page is None:
+        handler = self._pages.get(f"{request.method} {name}")
+        handler = handler or self._pages.get(name)
+        if handler is None:
             responder.answer(_NOT_FOUND, [], b"")
             return
         try:
-            shown = await page(query.decode("latin-1"))
+            answer = await handler(query.decode("latin-1"))
         except Exception as error:
             logs.log_exception("internal_error", error, where="side_server")
             responder.answer(_FAILED, [], b"")
             return
-        headers = [(b"content-type", shown.content_type)]
-        responder.answer(shown.status, headers, shown.body)
+        headers = [(b"content-type", answer.content_type)]
+        responder.answer(answer.status, headers, answer.body)
--- a/tests/direct/conftest.py
+++ b/tests/direct/conftest.py
@@ -1,4 +1,4 @@
-"""An entry's forwarding path before scripted replicas."""
+"""Fixtures that run an entry's forwarder against scripted replicas."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
 
 
 def route(kind: fleet.RouteKind, name: str) -> fleet.Route:
-    """Returns a route below /NAME/ to the service of that name."""
+    """Returns a route from the path prefix /NAME/ to service "s"."""
     return fleet.Route(
         name=name,
         host="a.example",
@@ -108,23 +108,23 @@
 
 
 class SuspendedClock:
-    """The system's clock; time spent suspended is added by hand."""
+    """The system's clock plus a suspended time that tests set."""
 
     def __init__(self) -> None:
-        """Starts without any."""
+        """Starts without suspended time."""
         self._clock = clock.SystemClock()
         self.suspended_ms = 0.0
 
     def now_ms(self) -> clock.Millis:
-        """Returns the time, with what was spent suspended."""
+        """Returns the system's time plus the suspended time."""
         return clock.Millis(self._clock.now_ms() + self.suspended_ms)
 
 
 class Entry:
-    """A forwarder behind a caller server, before some replicas."""
+    """A caller server and a forwarder that sends to the given replicas."""
 
     def __init__(self, addresses: list[str]) -> None:
-        """Knows one replica at each address."""
+        """Creates an entry that knows one replica at each address."""
         self.leaving = False
         self.routes: route_table.RouteTable | None = route_table.RouteTable(
             CONFIG
@@ -153,7 +153,7 @@
         ]
         self.catalog.apply(changes, time.now_ms())
         self.table.sync(self.catalog, time.now_ms())
-        # The first script runs on the fastest replica, which is chosen first.
+        # The first script runs on the fastest replica, which is picked first.
         for number, view in enumerate(self.table):
             view.answer_ms *= 2.0**number
             view.answers = replica_view.ANSWERS_MAX
@@ -183,25 +183,25 @@
         )
 
     def refuses(self) -> bool:
-        """Whether no new requests are taken."""
+        """Returns whether new requests are refused."""
         return self.leaving
 
     def limits(self) -> fleet.CallerLimits:
-        """Returns the bounds in force."""
+        """Returns the limits on callers in force."""
         return CONFIG.limits
 
     def refused(self, error: errors.CallError) -> None:
-        """Ignores requests that could not be read."""
+        """Ignores requests that could not be parsed."""
 
     def serve_engines(self) -> None:
-        """Makes the replicas model engines."""
+        """Configures the replicas as model engines."""
         (service,) = CONFIG.services
         services = [msgspec.structs.replace(service, engine=ENGINE)]
         config = msgspec.structs.replace(CONFIG, services=services)
         self.routes = route_table.RouteTable(config)
 
     def name_version(self, version: int, age_ms: float) -> None:
-        """Has a version of the engines' weights named some time ago."""
+        """Adds a version of the weights that was named `age_ms` ago."""
         target = fleet.WeightsTarget(model=ENGINE.model, version=version)
         ages = event_time.Ages(age_ms, age_ms)
         change = catalog.TargetChange(100 + version, target, ages)
@@ -234,15 +234,15 @@
         return reader, writer
 
 
-Use: TypeAlias = Callable[[Entry], Awaitable[None]]
+EntryTest: TypeAlias = Callable[[Entry], Awaitable[None]]
 RunEntry: TypeAlias = Callable[..., None]
 
 
 @pytest.fixture
 def run_entry() -> RunEntry:
-    """Runs a test before replicas that follow scripts."""
+    """Returns a function that runs a test against scripted replicas."""
 
-    def run(use: Use, *scripts: raw_http.Script) -> None:
+    def run(test: EntryTest, *scripts: raw_http.Script) -> None:
         async def main() -> None:
             async with contextlib.AsyncExitStack() as stack:
                 servers = [
@@ -254,7 +254,7 @@
                 entry = Entry([server.address for server in servers])
                 await entry.server.start("127.0.0.1", 0)
                 async with asyncio.timeout(5):
-                    await use(entry)
+                    await test(entry)
                 entry.server.stop_listening()
 
         asyncio.run(main())
--- a/tests/direct/test_entry_daemon.py
+++ b/tests/direct/test_entry_daemon.py
@@ -8,11 +8,11 @@
 from tests.direct import conftest
 
 LATE_MS = 3_000.0
-"""A request that is sent this long after SIGTERM has to be finished or
-refused; the users excuse cuts only of what was sent before."""
+"""Time after SIGTERM from which a request has to be finished or refused; the
+users accept cuts only of requests that were sent earlier."""
 
 
-def test_stopped_entry_refuses_what_it_may_not_finish(
+def test_draining_entry_refuses_requests_that_it_may_not_finish(
     time: clock.ManualClock,
 ) -> None:
     address = node.Address("127.0.0.1", 1)
--- a/tests/direct/test_settings_watch.py
+++ b/tests/direct/test_settings_watch.py
@@ -7,7 +7,7 @@
 from tests.direct import conftest
 
 
-def test_changed_settings_are_handed_over_and_broken_ones_are_not() -> None:
+def test_changed_settings_are_applied_and_invalid_ones_are_not() -> None:
     current = conftest.SETTINGS
     bounds = msgspec.structs.replace(current.bounds, retry_ratio=0.1)
     changed = msgspec.structs.replace(current, bounds=bounds)
--- a/tests/direct/test_side_server.py
+++ b/tests/direct/test_side_server.py
@@ -54,12 +54,12 @@
         assert b"marlramp_refusals_total{" in answer
 
 
-def test_latencies_from_before_the_first_look_are_exported() -> None:
+def test_latencies_before_the_first_scrape_are_exported() -> None:
     async def main() -> bytes:
-        measured = metrics.Metrics(counters.Counters())
-        measured.record_answer(12.0)
-        measured.record_first_event(7.0)
-        return await measured.text()
+        recorded = metrics.Metrics(counters.Counters())
+        recorded.record_answer(12.0)
+        recorded.record_first_event(7.0)
+        return await recorded.text()
 
     text = asyncio.run(main())
     assert b"marlramp_answer_milliseconds_count" in text
