--- a/src/marlramp/direct/agent_daemon.py
+++ b/src/marlramp/direct/agent_daemon.py
@@ -19,8 +19,8 @@
 from marlramp.core import replica_view
 from marlramp.core import swap_schedule
 from marlramp.direct import metrics
+from marlramp.direct import page_server
 from marlramp.direct import settings_watch
-from marlramp.direct import side_server
 from marlramp.direct.fleet import crash_keeper
 from marlramp.direct.fleet import entry_contacts
 from marlramp.direct.fleet import named_weights
@@ -112,9 +112,9 @@
         self._exchange = piece_exchange.PieceExchange(
             self._own, settings.link_bytes_per_s, self._totals, self._clock
         )
-        self._side = side_server.SideServer(
-            side_server.metrics_pages(metrics.Metrics(self._totals).text),
-            {"metrics": side_server.metrics_address(settings)},
+        self._page_server = page_server.PageServer(
+            page_server.metrics_pages(metrics.Metrics(self._totals).text),
+            {"metrics": page_server.metrics_address(settings)},
             self._clock,
         )
         self._weights = named_weights.NamedWeights(
@@ -172,7 +172,7 @@
             await self._stopping.wait()
             for task in tasks:
                 task.cancel()
-        self._side.stop()
+        self._page_server.stop()
         self._lifecycle.stop()
         self._entry_links.close_all()
         self._peer_links.close_all()
@@ -201,7 +201,7 @@
                     self._own.port,
                     self._peer_links.listen,
                 ),
-                *self._side.openings(),
+                *self._page_server.openings(),
             ],
             self._totals,
         )
--- a/src/marlramp/direct/crash_pages.py
+++ b/src/marlramp/direct/crash_pages.py
@@ -10,7 +10,7 @@
 from marlramp import ids
 from marlramp import logs
 from marlramp.core import crash_record
-from marlramp.direct import side_server
+from marlramp.direct import page_server
 
 CRASHES_PATH = "/crashes"
 RELEASE_PATH = "/crashes/release"
@@ -64,7 +64,7 @@
 
 def build(
     record: crash_record.CrashRecord, on_change: Callable[[], None]
-) -> side_server.Pages:
+) -> page_server.Pages:
     """Returns the pages that list and release requests.
 
     Args:
@@ -73,18 +73,18 @@
         entries.
     """
 
-    async def show(_: str) -> side_server.Page:
+    async def show(_: str) -> page_server.Page:
         body = msgspec.json.encode(rows_of(record))
-        return side_server.Page(_OK, _JSON, body)
+        return page_server.Page(_OK, _JSON, body)
 
-    async def release(query: str) -> side_server.Page:
+    async def release(query: str) -> page_server.Page:
         (text,) = urllib.parse.parse_qs(query).get("fingerprint", [""])[:1]
         cleared = record.clear(ids.Fingerprint(text))
         if not cleared:
-            return side_server.Page(_NOT_FOUND, b"text/plain", b"")
+            return page_server.Page(_NOT_FOUND, b"text/plain", b"")
         logs.log("request_cleared", fingerprint=text, crashes=cleared)
         on_change()
         body = msgspec.json.encode(Released(cleared))
-        return side_server.Page(_OK, _JSON, body)
+        return page_server.Page(_OK, _JSON, body)
 
     return {CRASHES_PATH: show, f"POST {RELEASE_PATH}": release}
--- a/src/marlramp/direct/entry_daemon.py
+++ b/src/marlramp/direct/entry_daemon.py
@@ -25,9 +25,9 @@
 from marlramp.direct import crash_pages
 from marlramp.direct import limit_pages
 from marlramp.direct import metrics
+from marlramp.direct import page_server
 from marlramp.direct import pause_pages
 from marlramp.direct import settings_watch
-from marlramp.direct import side_server
 from marlramp.direct.calls import crash_watch
 from marlramp.direct.calls import forwarder
 from marlramp.direct.fleet import entry_fleet
@@ -141,7 +141,7 @@
         self._callers = http1_server.CallerServer(
             self._forwarder.handle, self, self._clock
         )
-        self._side = self._build_side()
+        self._page_server = self._build_page_server()
         self._leaving_since_ms: float | None = None
 
     def reload(self, reason: str) -> None:
@@ -210,7 +210,7 @@
                 port_opener.Opening(
                     "control", control.host, control.port, self._links.listen
                 ),
-                *self._side.openings(),
+                *self._page_server.openings(),
                 port_opener.Opening(
                     "callers", callers.host, callers.port, self._callers.start
                 ),
@@ -218,11 +218,11 @@
             self._totals,
         )
 
-    def _build_side(self) -> side_server.SideServer:
+    def _build_page_server(self) -> page_server.PageServer:
         ttl_ms = min(LOOKUP_TTL_MS, self._settings.bounds.lookup_ttl_max_ms)
         pages = {
             **lookup_pages.build(self._lookup, ttl_ms / _MS, self._is_ready),
-            **side_server.metrics_pages(self._metrics.text),
+            **page_server.metrics_pages(self._metrics.text),
             **crash_pages.build(self._crashes, self._fleet.tell_crashes),
             **limit_pages.build(self._fleet.limits, self._table, self._clock),
             **pause_pages.build(self._table, self._clock),
@@ -230,9 +230,9 @@
         addresses = {
             "lookup": self._addresses.lookup,
             "ready": self._addresses.ready,
-            "metrics": side_server.metrics_address(self._settings),
+            "metrics": page_server.metrics_address(self._settings),
         }
-        return side_server.SideServer(pages, addresses, self._clock)
+        return page_server.PageServer(pages, addresses, self._clock)
 
     async def _leave(self) -> None:
         """Finishes the running requests while callers go to other entries."""
@@ -245,7 +245,7 @@
             if self.refuses() and not self._callers.busy:
                 break
             await asyncio.sleep(TICK_MS / _MS)
-        self._side.stop()
+        self._page_server.stop()
         self._callers.stop_listening()
         self._callers.close_idle()
 
--- a/src/marlramp/direct/limit_pages.py
+++ b/src/marlramp/direct/limit_pages.py
@@ -9,7 +9,7 @@
 
 from marlramp import clock
 from marlramp.core import replica_table
-from marlramp.direct import side_server
+from marlramp.direct import page_server
 from marlramp.direct.fleet import entry_limits
 
 LIMITS_PATH = "/replica-limits"
@@ -68,11 +68,11 @@
     limits: entry_limits.EntryLimits,
     table: replica_table.ReplicaTable,
     time: clock.Clock,
-) -> side_server.Pages:
+) -> page_server.Pages:
     """Returns the page that lists the rate limits."""
 
-    async def show(_: str) -> side_server.Page:
+    async def show(_: str) -> page_server.Page:
         body = msgspec.json.encode(rows_of(limits, table, time.now_ms()))
-        return side_server.Page(_OK, _JSON, body)
+        return page_server.Page(_OK, _JSON, body)
 
     return {LIMITS_PATH: show}
--- a/src/marlramp/direct/side_server.py
+++ b/src/marlramp/direct/page_server.py
@@ -69,7 +69,7 @@
     return {METRICS_PATH: serve}
 
 
-class SideServer:
+class PageServer:
     """Serves one set of pages on several addresses."""
 
     def __init__(
--- a/src/marlramp/direct/pause_pages.py
+++ b/src/marlramp/direct/pause_pages.py
@@ -10,7 +10,7 @@
 from marlramp import clock
 from marlramp.core import replica_table
 from marlramp.core import replica_view
-from marlramp.direct import side_server
+from marlramp.direct import page_server
 
 PAUSES_PATH = "/replica-pauses"
 
@@ -93,11 +93,11 @@
 
 def build(
     table: replica_table.ReplicaTable, time: clock.Clock
-) -> side_server.Pages:
+) -> page_server.Pages:
     """Returns the page that lists the replicas."""
 
-    async def show(_: str) -> side_server.Page:
+    async def show(_: str) -> page_server.Page:
         body = msgspec.json.encode(rows_of(table, time.now_ms()))
-        return side_server.Page(_OK, _JSON, body)
+        return page_server.Page(_OK, _JSON, body)
 
     return {PAUSES_PATH: show}
--- a/src/marlramp/platform/lookup_pages.py
+++ b/src/marlramp/platform/lookup_pages.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from marlramp.direct import side_server
+from marlramp.direct import page_server
 
 LOOKUP_PATH = "/v1/lookup"
 READY_PATH = "/v1/readyz"
@@ -26,7 +26,7 @@
     addresses: Callable[[str], list[str]],
     ttl_s: float,
     ready: Callable[[], bool],
-) -> side_server.Pages:
+) -> page_server.Pages:
     """Returns the pages.
 
     Args:
@@ -35,13 +35,13 @@
       ready: tells whether this entry takes callers.
     """
 
-    async def lookup(query: str) -> side_server.Page:
+    async def lookup(query: str) -> page_server.Page:
         (place,) = urllib.parse.parse_qs(query).get("zone", [""])[:1]
         body = msgspec.json.encode(_Lookup(addresses(place), ttl_s))
-        return side_server.Page(_OK, b"application/json", body)
+        return page_server.Page(_OK, b"application/json", body)
 
-    async def readyz(_: str) -> side_server.Page:
+    async def readyz(_: str) -> page_server.Page:
         status = _OK if ready() else _UNAVAILABLE
-        return side_server.Page(status, b"text/plain", b"")
+        return page_server.Page(status, b"text/plain", b"")
 
     return {LOOKUP_PATH: lookup, READY_PATH: readyz}
--- a/tests/direct/test_side_server.py
+++ b/tests/direct/test_page_server.py
@@ -7,7 +7,7 @@
 from marlramp import clock
 from marlramp import counters
 from marlramp.direct import metrics
-from marlramp.direct import side_server
+from marlramp.direct import page_server
 from marlramp.experiments import processes
 from marlramp.settings import node
 
@@ -27,19 +27,19 @@
     [("/metrics?x=1", b"200"), ("/other", b"404"), ("/broken", b"500")],
 )
 def test_pages_are_found_by_their_path(path: str, status: bytes) -> None:
-    async def broken(_: str) -> side_server.Page:
+    async def broken(_: str) -> page_server.Page:
         raise ValueError("a page that fails")
 
     async def main() -> bytes:
         totals = counters.Counters()
         totals.add(counters.CounterName.REFUSALS, "late", 3)
         pages = {
-            **side_server.metrics_pages(metrics.Metrics(totals).text),
+            **page_server.metrics_pages(metrics.Metrics(totals).text),
             "/broken": broken,
         }
         (port,) = processes.free_ports(1)
         address = node.Address("127.0.0.1", port)
-        server = side_server.SideServer(
+        server = page_server.PageServer(
             pages, {"pages": address}, clock.SystemClock()
         )
         (opening,) = server.openings()
