--- a/src/marlramp/direct/agent_daemon.py
+++ b/src/marlramp/direct/agent_daemon.py
@@ -382,7 +382,7 @@
         self._exchange.set_origin(replica_api.OriginApi(self._caller, origin))
 
     def _set_relays(self, entries: dict[str, members.Member]) -> None:
-        """Uses the near ones of the linked entries as relays of pieces."""
+        """Sets the linked entries of near data centres as relays of pieces."""
         near = self._settings.near_data_centres
         self._exchange.set_relays(
             [n for n, entry in entries.items() if entry.data_centre in near]
--- a/src/marlramp/direct/entry_daemon.py
+++ b/src/marlramp/direct/entry_daemon.py
@@ -60,7 +60,7 @@
 """Time after SIGTERM from which idle connections are closed."""
 
 LEAVE_MARGIN_MS = 700.0
-"""How long before it would be killed the process ends."""
+"""Time from the end of the process until it would be killed."""
 
 _MS = clock.MILLIS_PER_SECOND
 
@@ -149,7 +149,11 @@
         self._watch.check(reason)
 
     def drain(self, reason: str) -> None:
-        """Leaves the lookup, finishes the running requests, then stops."""
+        """Stops the entry after its running requests.
+
+        The entry announces that it leaves and accepts requests for another
+        LEAVE_ACCEPT_MS.
+        """
         if self._lifecycle.phase is lifecycle.Phase.DRAINING:
             return
         logs.log("draining", reason=reason)
--- a/src/marlramp/direct/launch.py
+++ b/src/marlramp/direct/launch.py
@@ -24,12 +24,12 @@
 EXIT_SETTINGS_REFUSED = 3
 
 SETTINGS_WAIT_MS = 1_000.0
-"""How long an invalid settings file is read again at the start. A file that is
+"""How long an unusable settings file is read again at the start. A file that is
 being written is complete within milliseconds, and a process that exits instead
 serves nothing until it is restarted."""
 
 SETTINGS_RETRY_MS = 50.0
-"""Time between two reads of an invalid settings file at the start."""
+"""Time between two reads of an unusable settings file at the start."""
 
 
 class Daemon(Protocol):
@@ -115,7 +115,7 @@
     """Returns the settings in a file that may still be being written.
 
     Raises:
-      NodeSettingsError: if the file is still invalid after SETTINGS_WAIT_MS.
+      NodeSettingsError: if the file is still unusable after SETTINGS_WAIT_MS.
     """
     end_ms = time.now_ms() + SETTINGS_WAIT_MS
     while True:
--- a/src/marlramp/direct/settings_watch.py
+++ b/src/marlramp/direct/settings_watch.py
@@ -37,8 +37,8 @@
     def check(self, reason: str) -> None:
         """Reads the file and applies its settings if they changed.
 
-        An invalid file changes nothing. Its problems are logged once, until
-        they change or the file is valid again.
+        An unusable file changes nothing. Its problems are logged once, until
+        they change or the file is usable again.
 
         Args:
           reason: why the file is read, for the log.
