--- a/src/marlramp/direct/entry_daemon.py
+++ b/src/marlramp/direct/entry_daemon.py
@@ -1,4 +1,8 @@
-"""The entry on the direct path: one process on each entry VM."""
+"""The entry process of the direct path, one on each entry VM.
+
+The entry receives callers' requests and forwards them to replicas. It also
+answers address lookups, readiness checks and the operators' pages.
+"""
 
 from __future__ import annotations
 
@@ -21,9 +25,9 @@
 from marlramp.direct import crash_pages
 from marlramp.direct import limit_pages
 from marlramp.direct import metrics
+from marlramp.direct import page_server
 from marlramp.direct import pause_pages
 from marlramp.direct import settings_watch
-from marlramp.direct import side_server
 from marlramp.direct.calls import crash_watch
 from marlramp.direct.calls import forwarder
 from marlramp.direct.fleet import entry_fleet
@@ -43,23 +47,26 @@
 
 TICK_MS = 100.0
 LOOKUP_TTL_MS = 2_000.0
-"""How long callers keep addresses: short, so that they leave a VM that went
-down; each caller asks again that often."""
+"""How long callers cache the addresses of a lookup. It is short, so that
+callers leave a VM that is down; each caller repeats its lookup this often."""
 
 LEAVE_ACCEPT_MS = 2_800.0
-"""After SIGTERM requests are taken this long. A stream may run for 6 s and the
-process ends 7.3 s after the signal, so that what is taken later could be cut;
-it is refused at once instead, and its caller goes to another entry."""
+"""How long the entry accepts requests after SIGTERM. A stream may run for 6 s
+and the process ends 7.3 s after the signal, so requests that are accepted later
+could be cut. They are refused at once instead, and their callers go to another
+entry."""
 
 LEAVE_IDLE_CLOSE_MS = 2_800.0
+"""Time after SIGTERM from which idle connections are closed."""
+
 LEAVE_MARGIN_MS = 700.0
-"""The process ends this long before it would be killed."""
+"""Time from the end of the process until it would be killed."""
 
 _MS = clock.MILLIS_PER_SECOND
 
 
 class EntryDaemon:
-    """Wires the entry's parts together."""
+    """Creates, connects and runs the parts of an entry."""
 
     def __init__(
         self,
@@ -70,13 +77,13 @@
 
         Args:
           settings: the settings in force.
-          load: reads them anew.
+          load: reads the settings file and returns its settings.
 
         Raises:
-          ValueError: if the settings are not those of an entry.
+          ValueError: if the settings contain no addresses of an entry.
         """
         if settings.entry is None:
-            raise ValueError("an entry needs its addresses")
+            raise ValueError("an entry's settings must contain its addresses")
         self._settings = settings
         self._watch = settings_watch.SettingsWatch(
             load, settings, self._apply_settings
@@ -105,10 +112,10 @@
             self._catalog,
             self._table,
             self._crashes,
-            self._changed,
+            self._apply_changes,
             self._forget,
             self._set_cell,
-            self._note_leaving,
+            self._handle_leaving,
             self._totals,
             self._clock,
         )
@@ -134,29 +141,33 @@
         self._callers = http1_server.CallerServer(
             self._forwarder.handle, self, self._clock
         )
-        self._side = self._build_side()
-        self._left_ms: float | None = None
+        self._page_server = self._build_page_server()
+        self._leaving_since_ms: float | None = None
 
     def reload(self, reason: str) -> None:
-        """Reads the settings anew."""
+        """Reads the settings file again and applies what changed."""
         self._watch.check(reason)
 
     def drain(self, reason: str) -> None:
-        """Leaves the addresses, finishes what runs, then stops."""
+        """Stops the entry after its running requests.
+
+        The entry announces that it leaves and accepts requests for another
+        LEAVE_ACCEPT_MS.
+        """
         if self._lifecycle.phase is lifecycle.Phase.DRAINING:
             return
         logs.log("draining", reason=reason)
         self._lifecycle.drain()
-        self._left_ms = self._clock.now_ms()
+        self._leaving_since_ms = self._clock.now_ms()
         self._stopping.set()
 
     async def run(self) -> None:
-        """Runs until drained."""
+        """Runs the entry until it is drained."""
         self._build_shell()
         await self._ports.open_free()
         logs.log("entry_started", callers=self._addresses.callers)
         async with asyncio.TaskGroup() as group:
-            works = {
+            loops = {
                 "store_reader": self._reader.run,
                 "entry_ticks": self._tick_all,
                 "settings_watch": self._watch.run,
@@ -164,7 +175,7 @@
                 "piece_relay": self._fleet.relay_pieces,
                 "ports": self._ports.run,
             }
-            tasks = safely.start_all(group, works, self._totals, self._clock)
+            tasks = safely.start_all(group, loops, self._totals, self._clock)
             await self._stopping.wait()
             await self._leave()
             for task in tasks:
@@ -203,7 +214,7 @@
                 port_opener.Opening(
                     "control", control.host, control.port, self._links.listen
                 ),
-                *self._side.openings(),
+                *self._page_server.openings(),
                 port_opener.Opening(
                     "callers", callers.host, callers.port, self._callers.start
                 ),
@@ -211,11 +222,11 @@
             self._totals,
         )
 
-    def _build_side(self) -> side_server.SideServer:
+    def _build_page_server(self) -> page_server.PageServer:
         ttl_ms = min(LOOKUP_TTL_MS, self._settings.bounds.lookup_ttl_max_ms)
         pages = {
             **lookup_pages.build(self._lookup, ttl_ms / _MS, self._is_ready),
-            **side_server.metrics_pages(self._metrics.text),
+            **page_server.metrics_pages(self._metrics.text),
             **crash_pages.build(self._crashes, self._fleet.tell_crashes),
             **limit_pages.build(self._fleet.limits, self._table, self._clock),
             **pause_pages.build(self._table, self._clock),
@@ -223,12 +234,12 @@
         addresses = {
             "lookup": self._addresses.lookup,
             "ready": self._addresses.ready,
-            "metrics": side_server.metrics_address(self._settings),
+            "metrics": page_server.metrics_address(self._settings),
         }
-        return side_server.SideServer(pages, addresses, self._clock)
+        return page_server.PageServer(pages, addresses, self._clock)
 
     async def _leave(self) -> None:
-        """Lets callers go elsewhere and finishes their requests."""
+        """Finishes the running requests while callers go to other entries."""
         start_ms = self._clock.now_ms()
         end_ms = start_ms + self._settings.bounds.grace_ms - LEAVE_MARGIN_MS
         while self._clock.now_ms() < end_ms:
@@ -238,48 +249,48 @@
             if self.refuses() and not self._callers.busy:
                 break
             await asyncio.sleep(TICK_MS / _MS)
-        self._side.stop()
+        self._page_server.stop()
         self._callers.stop_listening()
         self._callers.close_idle()
 
     def _apply_settings(self, settings: node.NodeSettings) -> None:
-        """Takes changed bounds and seeds; addresses need a restart."""
+        """Applies changed bounds and seeds; new addresses need a restart."""
         self._settings = settings
         self._fleet.set_settings(settings)
         self._forwarder.set_settings(settings)
 
-    # What the forwarder and the caller server ask for.
+    # Methods that the forwarder and the caller server call.
 
     @property
     def routes(self) -> route_table.RouteTable | None:
-        """The configuration in force, None before the first."""
+        """The routes in force, None before the first configuration."""
         return self._routes
 
     @property
     def entries(self) -> int:
-        """The most entries known lately."""
+        """The largest number of entries known recently."""
         return self._fleet.entries
 
     def refuses(self) -> bool:
-        """Whether this entry takes no new requests."""
+        """Returns whether this entry refuses new requests."""
         return (
-            self._left_ms is not None
-            and self._clock.now_ms() - self._left_ms > LEAVE_ACCEPT_MS
+            self._leaving_since_ms is not None
+            and self._clock.now_ms() - self._leaving_since_ms > LEAVE_ACCEPT_MS
         )
 
     @property
     def closing(self) -> bool:
-        """Whether connections are closed after their answer."""
-        return self._left_ms is not None
+        """Whether each connection is closed after its current answer."""
+        return self._leaving_since_ms is not None
 
     def limits(self) -> fleet.CallerLimits:
-        """Returns the bounds on callers in force."""
+        """Returns the limits on callers in force."""
         if self._catalog.config is None:
             return fleet.CallerLimits()
         return self._catalog.config.limits
 
     def refused(self, error: errors.CallError) -> None:
-        """Counts and logs a request that could not be read."""
+        """Counts and logs a request that could not be parsed."""
         self._totals.add(counters.CounterName.REFUSALS, error.kind.value)
         logs.log("request_unreadable", kind=error.kind.value)
 
@@ -289,46 +300,52 @@
         return self._state() is members.MemberState.READY
 
     def _state(self) -> members.MemberState:
-        if self._left_ms is not None:
+        if self._leaving_since_ms is not None:
             return members.MemberState.LEAVING
         if self._routes is None or not self._callers.listening:
             return members.MemberState.STARTING
         return members.MemberState.READY
 
     def _lookup(self, data_centre: str) -> list[str]:
-        """Returns the entries for callers of a data centre, else this one."""
+        """Returns the addresses of the entries for callers of a data centre.
+
+        Without another ready entry this entry is included even if it is not
+        ready itself.
+        """
         found = self._fleet.ready_entries()
         if self._is_ready() or not found:
             found.append(self._own)
         data_centres = list(self._settings.regions)
-        named = lookup_share.entries_for(data_centre, data_centres, found)
-        return sorted(entry.callers for entry in named)
+        selected = lookup_share.entries_for(data_centre, data_centres, found)
+        return sorted(entry.callers for entry in selected)
 
-    # What changed.
+    # Changes of the fleet.
 
-    def _changed(self, changes: list[catalog.Change]) -> None:
-        """Takes over what changed in the catalog."""
+    def _apply_changes(self, changes: list[catalog.Change]) -> None:
+        """Updates the replica table and the routes from the catalog."""
         now_ms = self._clock.now_ms()
         self._forget(self._table.sync(self._catalog, now_ms))
-        configured = any(isinstance(c, catalog.ConfigChange) for c in changes)
-        if configured and self._catalog.config is not None:
+        has_new_config = any(
+            isinstance(c, catalog.ConfigChange) for c in changes
+        )
+        if has_new_config and self._catalog.config is not None:
             self._routes = route_table.RouteTable(self._catalog.config)
             self._lifecycle.serve()
 
     def _set_cell(self, hosts: list[str]) -> None:
-        """Takes the addresses of the VMs whose engines belong to the cell."""
+        """Sets the hosts of the VMs whose engines belong to the cell."""
         self._forwarder.set_cell(hosts)
 
-    def _note_leaving(self, view: replica_view.ReplicaView) -> None:
-        """Takes a replica that its agent reports to leave."""
+    def _handle_leaving(self, view: replica_view.ReplicaView) -> None:
+        """Handles an agent's report that its replica leaves."""
         self._forwarder.note_leaving(view)
 
     def _forget(self, replica_ids: list[str]) -> None:
-        """Drops what is kept of replicas that are gone."""
+        """Drops the state that is kept of removed replicas."""
         self._forwarder.forget(replica_ids)
         self._fleet.forget(replica_ids)
 
-    # Regular work.
+    # Periodic work.
 
     async def _tick_all(self) -> None:
         while True:
@@ -340,9 +357,9 @@
         self._fleet.sync.set_state(self._state())
         self._fleet.tick()
         self._links.close_idle()
-        gone = self._catalog.tick(now_ms)
-        for replica_id in gone:
+        removed = self._catalog.tick(now_ms)
+        for replica_id in removed:
             logs.log("replica_gone", replica=replica_id)
-        if gone:
+        if removed:
             self._forget(self._table.sync(self._catalog, now_ms))
         self._forwarder.tick()
