--- a/src/marlramp/direct/calls/__init__.py
+++ b/src/marlramp/direct/calls/__init__.py
@@ -1,1 +1,1 @@
-"""A request on its way: admission, choice, sends, answers."""
+"""Serves requests on the direct path: admission, routing, sends, answers."""
--- a/src/marlramp/direct/calls/attempts.py
+++ b/src/marlramp/direct/calls/attempts.py
@@ -1,4 +1,4 @@
-"""One request at one replica, and what came of it."""
+"""One attempt to have a replica answer a request, and its outcome."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from marlramp.shell import http1_server
 
 PLAIN_BODY_BYTES_MAX = 8_388_608
-"""A plain answer is held back until it is whole, up to this size."""
+"""Largest plain answer; it is buffered until it is complete."""
 
 _SUCCESS = range(200, 300)
-_FAILURE_FIRST = 500
-_PROMISES_NOT_RUN = frozenset({408, 421, 429, 503})
-"""Statuses that tell a caller that its request did not run."""
+_SERVER_ERROR_MIN = 500
+_IMPLY_NOT_RUN = frozenset({408, 421, 429, 503})
+"""Statuses that imply to a caller that its request did not run."""
 
 _EVENT_STREAM = b"text/event-stream"
 
@@ -29,10 +29,11 @@
     """How an attempt ended.
 
     Attributes:
-      failure: why it brought no answer to pass on, None if it did.
-      answer: head of the answer, None if there was none.
-      body: whole body of a plain answer.
-      loss: how its connection was lost, None if it was not.
+      failure: why there is no answer to forward to the caller, None if there
+        is one.
+      answer: head of the answer, None if none arrived.
+      body: complete body of a plain answer, empty for a stream.
+      loss: how the connection was lost, None if it was not lost.
     """
 
     failure: errors.CallError | None
@@ -42,18 +43,18 @@
 
 
 class Observer(Protocol):
-    """Hears what an attempt learns of its replica while it runs."""
+    """Is notified of what a running attempt receives from its replica."""
 
     def on_answer(self, answer: wire.ReplicaAnswer) -> None:
-        """The head of the answer has arrived."""
+        """Handles the head of the answer."""
         ...
 
     def on_first(self) -> None:
-        """The first event, or a good plain answer, has arrived."""
+        """Handles the first event, or a plain answer that is no failure."""
         ...
 
     def on_event(self) -> None:
-        """An event of a stream has arrived."""
+        """Handles events of a stream."""
         ...
 
 
@@ -62,11 +63,14 @@
 
 
 class Attempt:
-    """Base of attempts: checks the head and reports the outcome once.
+    """An attempt that buffers a plain answer, and the base of streams.
 
     Attributes:
-      progress_ms: when anything arrived last.
-      begun: whether a first event or a good answer has arrived.
+      finished: receives the outcome, once.
+      progress_ms: clock reading when data last arrived from the replica; at
+        first, when the attempt was created.
+      begun: whether a first event or a plain answer that is no failure has
+        arrived.
     """
 
     def __init__(
@@ -76,7 +80,7 @@
         observer: Observer,
         time: clock.Clock,
     ) -> None:
-        """Starts before the request is sent."""
+        """Creates an attempt whose request is about to be sent."""
         self._codec = codec
         self._call = call
         self._observer = observer
@@ -92,11 +96,11 @@
 
     @property
     def answer(self) -> wire.ReplicaAnswer | None:
-        """Head of the answer, None before it arrived."""
+        """Head of the answer, None until it has arrived."""
         return self._answer
 
     def on_head(self, head: http1_client.ResponseHead) -> None:
-        """Checks whose answer this is."""
+        """Checks that the answer belongs to the request, and reports it."""
         self.progress_ms = self._clock.now_ms()
         answer = self._codec.answer(head, self._call)
         if not answer.mine:
@@ -112,7 +116,7 @@
         self._observer.on_answer(answer)
 
     def on_body(self, data: bytes) -> None:
-        """Collects a part of the body."""
+        """Buffers a part of the body, up to `PLAIN_BODY_BYTES_MAX`."""
         self.progress_ms = self._clock.now_ms()
         self._body_bytes += len(data)
         if self._body_bytes > PLAIN_BODY_BYTES_MAX:
@@ -127,19 +131,19 @@
         self._body.append(data)
 
     def on_complete(self) -> None:
-        """Judges a whole answer."""
+        """Finishes the attempt with the outcome of a complete answer."""
         answer = self._answer
         if answer is None:
             self.on_lost(http1_client.LossKind.MALFORMED)
             return
-        outcome = _judge(answer, b"".join(self._body))
+        outcome = _outcome_of(answer, b"".join(self._body))
         if outcome.failure is None:
-            # A replica that refuses or fails at once is no quick replica.
-            self._begin()
+            # A refusal or failure must not count as a fast first event.
+            self._record_first()
         self._finish(outcome)
 
     def on_lost(self, kind: http1_client.LossKind) -> None:
-        """Reports that no whole answer came."""
+        """Finishes the attempt because the connection was lost."""
         ran = errors.Ran.UNKNOWN
         if self._answer is not None and self._answer.not_run:
             ran = errors.Ran.NO
@@ -151,7 +155,7 @@
         failure = errors.CallError(error_kind, kind.value, ran=ran)
         self._finish(Outcome(failure=failure, loss=kind))
 
-    def _begin(self) -> None:
+    def _record_first(self) -> None:
         if not self.begun:
             self.begun = True
             self._observer.on_first()
@@ -161,8 +165,8 @@
             self.finished.set_result(outcome)
 
 
-def _judge(answer: wire.ReplicaAnswer, body: bytes) -> Outcome:
-    """Returns what a whole answer means for the call."""
+def _outcome_of(answer: wire.ReplicaAnswer, body: bytes) -> Outcome:
+    """Returns the outcome of a complete plain answer."""
     if answer.not_run:
         return Outcome(
             failure=errors.CallError(
@@ -179,13 +183,13 @@
             "the answer bears no proof of its replica",
             errors.Ran.YES,
         )
-    if answer.status in _PROMISES_NOT_RUN:
+    if answer.status in _IMPLY_NOT_RUN:
         return _failure(
             errors.ErrorKind.UPSTREAM_FAILED,
             f"status {answer.status} without a word that it did not run",
             errors.Ran.UNKNOWN,
         )
-    if answer.status >= _FAILURE_FIRST:
+    if answer.status >= _SERVER_ERROR_MIN:
         return Outcome(
             failure=errors.CallError(
                 errors.ErrorKind.UPSTREAM_FAILED,
@@ -199,59 +203,65 @@
 
 
 class StreamRelay:
-    """What a caller got of a stream, over all attempts.
+    """Forwards the events of a stream to its caller, over all attempts.
 
     Attributes:
-      splitter: whole events passed on so far.
-      passed_ms: when the last event was passed on, minus infinity before.
-      longest_pause_ms: longest time between two events passed on.
+      splitter: splits the data into complete events, and counts the events
+        that were forwarded.
+      forwarded_ms: clock reading when events were last forwarded, minus
+        infinity before the first.
+      longest_gap_ms: longest time between two times at which events were
+        forwarded.
     """
 
     def __init__(
         self, responder: http1_server.Responder, time: clock.Clock
     ) -> None:
-        """Passes events on to `responder`."""
+        """Creates a relay that writes events to `responder`."""
         self._responder = responder
         self._clock = time
-        self.passed_ms = float("-inf")
-        self.longest_pause_ms = 0.0
+        self.forwarded_ms = float("-inf")
+        self.longest_gap_ms = 0.0
         self.splitter = event_stream.EventSplitter()
 
     @property
     def started(self) -> bool:
-        """Whether the caller got the head and an event."""
+        """Whether the head of the answer was sent to the caller."""
         return self._responder.started
 
-    def pass_on(self, answer: wire.ReplicaAnswer, data: bytes) -> bool:
-        """Passes whole events on; returns whether there were any.
+    def forward(self, answer: wire.ReplicaAnswer, data: bytes) -> bool:
+        """Forwards complete events; returns whether there were any.
 
-        The head waits for the first event, so that a stream that fails before
-        it may start afresh elsewhere.
+        The head is sent with the first event, so that a stream that fails
+        before its first event can start again at another replica.
+
+        Raises:
+          EventTooLargeError: if an event is too large.
         """
-        whole = self.splitter.feed(data)
-        if not whole:
+        events = self.splitter.feed(data)
+        if not events:
             return False
         if not self._responder.started:
             self._responder.start(answer.status, answer.headers, None)
-        self._responder.write(whole)
-        self._note_passed(self._clock.now_ms())
+        self._responder.write(events)
+        self._record_forwarded(self._clock.now_ms())
         return True
 
-    def _note_passed(self, now_ms: clock.Millis) -> None:
-        if self.passed_ms > float("-inf"):
-            pause_ms = now_ms - self.passed_ms
-            self.longest_pause_ms = max(self.longest_pause_ms, pause_ms)
-        self.passed_ms = now_ms
+    def _record_forwarded(self, now_ms: clock.Millis) -> None:
+        if self.forwarded_ms > float("-inf"):
+            gap_ms = now_ms - self.forwarded_ms
+            self.longest_gap_ms = max(self.longest_gap_ms, gap_ms)
+        self.forwarded_ms = now_ms
 
     def end(self, answer: wire.ReplicaAnswer) -> None:
-        """Completes the stream."""
+        """Ends the stream; sends the head if there were no events."""
         if not self._responder.started:
             self._responder.start(answer.status, answer.headers, None)
         self._responder.end()
 
 
 class StreamAttempt(Attempt):
-    """An attempt whose events go on to the caller as they arrive."""
+    """An attempt that forwards events to the caller as they arrive."""
 
     def __init__(
         self,
@@ -261,13 +271,13 @@
         time: clock.Clock,
         relay: StreamRelay,
     ) -> None:
-        """Goes on where `relay` stands."""
+        """Creates an attempt that continues the stream of `relay`."""
         super().__init__(codec, call, observer, time)
         self._relay = relay
         self._streams = False
 
     def on_head(self, head: http1_client.ResponseHead) -> None:
-        """Tells events from a plain answer, such as a refusal."""
+        """Detects whether the answer is a stream or plain, as a refusal is."""
         super().on_head(head)
         answer = self._answer
         if answer is None:
@@ -279,7 +289,7 @@
         )
 
     def on_body(self, data: bytes) -> None:
-        """Passes whole events on."""
+        """Forwards complete events, or buffers a plain answer."""
         if not self._streams or self._answer is None:
             super().on_body(data)
             return
@@ -287,7 +297,7 @@
             return
         self.progress_ms = self._clock.now_ms()
         try:
-            passed = self._relay.pass_on(self._answer, data)
+            forwarded = self._relay.forward(self._answer, data)
         except event_stream.EventTooLargeError:
             self._finish(
                 _failure(
@@ -297,12 +307,12 @@
                 )
             )
             return
-        if passed:
-            self._begin()
+        if forwarded:
+            self._record_first()
             self._observer.on_event()
 
     def on_complete(self) -> None:
-        """Ends the stream if it ended with a whole event."""
+        """Ends the stream, or reports a loss if its last event is partial."""
         if not self._streams or self._answer is None:
             super().on_complete()
             return
--- a/src/marlramp/direct/calls/call.py
+++ b/src/marlramp/direct/calls/call.py
@@ -1,4 +1,4 @@
-"""A request under way on the direct path."""
+"""The state of a request that is in progress on the direct path."""
 
 from __future__ import annotations
 
@@ -15,40 +15,45 @@
 from marlramp.shell import http1_server
 
 HINT_FACTOR = 1.6
-"""Margin on a caller's estimate of its output: half of all are too low."""
+"""Factor on a caller's estimate of its output tokens: half of all estimates are
+too low."""
 
 BEGUN_WAIT_SHARE = 0.5
-"""Part of its caller's time that a request that has begun may wait for the
-limit of another replica; it can't be refused any more."""
+"""Part of the caller's remaining wait for which a request that has begun or may
+have run may wait for the rate limit of another replica. The request can no
+longer be refused."""
 
 EVENTS_LEFT_MIN = 3.0
-"""Events still expected of a stream that has outrun its estimate."""
+"""Least number of events that a stream is still expected to have, also when it
+has exceeded its estimate."""
 
 
 class Call:
-    """A request under way.
+    """A request that is in progress.
 
     Attributes:
-      request: as the caller sent it.
-      said: what the caller says of it.
-      route: its route.
-      service: the service that runs it.
-      customer: its customer, None if there is none.
-      responder: writes the answer.
-      spent_ms: least time that the caller has spent on attempts before.
-      relay: what the caller got of a stream.
-      ends_ms: when its caller or its route has waited long enough.
-      sends: replicas that it was sent to.
-      runs: replicas that may have run it.
-      maybe_ran: whether any replica may have run it.
-      failed: ids of replicas that it failed at.
-      suspected: whether it is suspected of a crash.
+      request: the request as the caller sent it.
+      info: what the request's headers say.
+      route: the request's route.
+      service: the service that runs the request.
+      customer: the request's customer, None if there is none.
+      responder: writes the answer to the caller.
+      spent_ms: least time that the caller has spent on earlier attempts at
+        the request.
+      relay: forwards the events of a stream to the caller.
+      ends_ms: clock reading at which the request times out, for its caller or
+        its route.
+      sends: number of replicas that the request was sent to.
+      runs: number of replicas that may have run the request.
+      maybe_ran: whether any replica may have run the request.
+      failed: ids of the replicas at which the request failed.
+      suspected: whether the request is suspected of a crash.
     """
 
     def __init__(
         self,
         request: http1_server.Request,
-        said: wire.CallerCall,
+        info: wire.CallerCall,
         route: fleet.Route,
         service: fleet.Service,
         customer: fleet.Customer | None,
@@ -56,9 +61,9 @@
         spent_ms: float,
         time: clock.Clock,
     ) -> None:
-        """Starts before the first send."""
+        """Creates the state of a request that was not sent yet."""
         self.request = request
-        self.said = said
+        self.info = info
         self.route = route
         self.service = service
         self.customer = customer
@@ -66,8 +71,8 @@
         self.spent_ms = spent_ms
         self.relay = attempts.StreamRelay(responder, time)
         wait_ms = route.timeout_ms
-        if said.wait_ms is not None:
-            wait_ms = min(wait_ms, said.wait_ms)
+        if info.wait_ms is not None:
+            wait_ms = min(wait_ms, info.wait_ms)
         self.ends_ms = request.first_byte_ms + wait_ms
         self.sends = 0
         self.runs = 0
@@ -77,33 +82,36 @@
 
     @functools.cached_property
     def fingerprint(self) -> ids.Fingerprint:
-        """What recognises the request when it comes again."""
+        """Identifies the request when it is sent again."""
         customer = self.customer
         return request_fingerprint.fingerprint(
             self.request.method,
-            self.said.host,
+            self.info.host,
             self.request.target,
             None if customer is None else customer.customer_id,
             self.request.body,
         )
 
     def expected_events(self) -> float:
-        """Returns the events that the answer is expected to have."""
+        """Returns how many more events the answer is expected to have."""
         engine = self.service.engine
         if engine is None:
             return 1.0
-        tokens = float(self.said.output_tokens_max)
-        if self.said.output_tokens_hint:
-            tokens = min(tokens, HINT_FACTOR * self.said.output_tokens_hint)
+        tokens = float(self.info.output_tokens_max)
+        if self.info.output_tokens_hint:
+            tokens = min(tokens, HINT_FACTOR * self.info.output_tokens_hint)
         expected = tokens / engine.steps_per_pass - self.relay.splitter.events
         return max(EVENTS_LEFT_MIN, expected)
 
     def left_ms(self, now_ms: clock.Millis) -> float:
-        """Returns how long there is left."""
+        """Returns the time until the request times out."""
         return self.ends_ms - now_ms
 
-    def stays_ms(self, now_ms: clock.Millis) -> float:
-        """Returns how long the caller waits for the answer to begin."""
+    def caller_wait_ms(self, now_ms: clock.Millis) -> float:
+        """Returns how much longer the caller waits for the next data.
+
+        For a stream, the timeout between two events counts as well.
+        """
         left_ms = self.left_ms(now_ms)
         if not self.route.streaming:
             return left_ms
@@ -111,26 +119,26 @@
         return min(left_ms, gap_timeout_ms - self._gap_ms(now_ms))
 
     def limit_wait_max_ms(self, now_ms: clock.Millis) -> float:
-        """Returns how long the answer may wait for the limits of replicas."""
+        """Returns how long the request may wait for replicas' rate limits."""
         if self.relay.started or self.maybe_ran:
-            return self.stays_ms(now_ms) * BEGUN_WAIT_SHARE
+            return self.caller_wait_ms(now_ms) * BEGUN_WAIT_SHARE
         left_ms = self.route.objective_ms - self.elapsed_ms(now_ms)
-        return send_limit.wait_max_ms(left_ms, self._rank())
+        return send_limit.wait_max_ms(left_ms, self._priority())
 
-    def _rank(self) -> int:
-        """Returns how urgent the call is, 0 first."""
+    def _priority(self) -> int:
+        """Returns the priority of the request, 0 for the most urgent."""
         if self.customer is not None and self.customer.priority is not None:
             return self.customer.priority
         return self.route.priority
 
     def may_have_left(self, now_ms: clock.Millis) -> bool:
-        """Returns whether the caller may be gone though no word of it came."""
+        """Returns whether the caller may have left unnoticed."""
         return caller_timeout.may_have_left(self.route, self._gap_ms(now_ms))
 
     def _gap_ms(self, now_ms: clock.Millis) -> float:
-        """Returns the time since the caller sent or got anything."""
-        return now_ms - max(self.request.received_ms, self.relay.passed_ms)
+        """Returns the time since the caller last sent or received data."""
+        return now_ms - max(self.request.received_ms, self.relay.forwarded_ms)
 
     def elapsed_ms(self, now_ms: clock.Millis) -> float:
-        """Returns the time since the caller first tried, as far as it says."""
+        """Returns the least time since the caller's first attempt."""
         return self.spent_ms + now_ms - self.request.first_byte_ms
--- a/src/marlramp/direct/calls/crash_watch.py
+++ b/src/marlramp/direct/calls/crash_watch.py
@@ -1,8 +1,9 @@
-"""Tells a replica that crashed from a connection that was lost.
+"""Distinguishes the crash of a replica from the loss of a connection.
 
-A connection that ends before its answer did may have been reset, cut, or spoilt
-by a replica that goes on. Only a replica that takes no connection any more has
-crashed, and all own requests that were under way there are suspects.
+A connection that ends before its answer may have been reset, cut, or broken by
+a replica that keeps running. Only a replica that no longer accepts connections
+has crashed. All requests of this entry that were in flight there are suspects
+of the crash.
 """
 
 from __future__ import annotations
@@ -24,20 +25,20 @@
 from marlramp.core import replica_view
 from marlramp.shell import address_probe
 
-SETTLE_MAX_MS = 50.0
-"""How long a request that is suspected already waits for the verdict on a lost
-replica before it is decided whether it is sent again."""
+PROBE_WAIT_MAX_MS = 50.0
+"""Longest time that a request that is already suspected waits for the probe of
+a replica before the entry decides whether to send the request again."""
 
 PENDING_MAX_MS = 10_000.0
-"""How long the loss of a replica that can't be reached waits for the list to
-tell that it is gone."""
+"""Longest time that a lost attempt at an unreachable replica waits for the
+replica list to show that the replica is gone."""
 
 
 class Probe(Protocol):
-    """Finds out whether anything listens at an address."""
+    """Checks whether a process listens at an address."""
 
     async def __call__(self, address: str) -> address_probe.Presence:
-        """Probes "host:port"."""
+        """Probes an address of the form "host:port"."""
         ...
 
 
@@ -45,11 +46,12 @@
     """An attempt whose connection to a replica was lost.
 
     Attributes:
-      fingerprint: the request.
-      replica_id: the replica.
-      crash_id: what it is a suspect of if the replica crashed.
-      begun: whether it had brought a part of its answer.
-      lost_ms: when its connection was lost.
+      fingerprint: the request's fingerprint.
+      replica_id: the replica's id.
+      crash_id: the crash that the request is a suspect of if the replica
+        crashed.
+      begun: whether a part of the answer had arrived.
+      lost_ms: clock reading when the connection was lost.
     """
 
     fingerprint: ids.Fingerprint
@@ -60,7 +62,7 @@
 
 
 class CrashWatch:
-    """Judges lost connections, and holds requests back by what is known."""
+    """Detects crashes, and restricts the requests that are suspects of them."""
 
     def __init__(
         self,
@@ -70,12 +72,12 @@
         totals: counters.Counters,
         time: clock.Clock,
     ) -> None:
-        """Watches connections to replicas.
+        """Creates a detector without lost connections.
 
         Args:
-          record: takes crashes and their suspects.
-          probe: finds out whether a replica still listens.
-          on_crash: hears that `record` has changed.
+          record: stores crashes and their suspects.
+          probe: checks whether a replica still listens.
+          on_crash: called when `record` has changed.
           totals: counters.
           time: the clock.
         """
@@ -87,27 +89,30 @@
         self._probes: dict[
             ids.CrashId, asyncio.Task[address_probe.Presence]
         ] = {}
-        self._judging: set[asyncio.Task[None]] = set()
+        self._lost_tasks: set[asyncio.Task[None]] = set()
         self._pending: list[LostAttempt] = []
 
-    # What is held against a request.
+    # Restrictions of suspects.
 
     def is_condemned(self, fingerprint: ids.Fingerprint) -> bool:
-        """Returns whether a request is not to be run again."""
+        """Returns whether a request must not run again."""
         return self._record.is_blocked(fingerprint)
 
     def runs_alone(self, fingerprint: ids.Fingerprint) -> bool:
-        """Returns whether a request goes where the fewest others run."""
+        """Returns whether a request must run isolated.
+
+        It then goes to the replica with the fewest other requests.
+        """
         return self._record.runs_alone(fingerprint)
 
     def runs_once(self, fingerprint: ids.Fingerprint) -> bool:
-        """Returns whether a request is sent to one replica at most."""
+        """Returns whether a request may run at one replica at most."""
         return self._record.runs_once(fingerprint)
 
-    # What happened to it.
+    # Ends of attempts and replicas.
 
     def note_good(self, fingerprint: ids.Fingerprint) -> None:
-        """Takes a run that ended without a crash."""
+        """Records that a request ran without a crash."""
         self._record.record_success(fingerprint, self._clock.now_ms())
 
     async def note_lost(
@@ -117,13 +122,19 @@
         *,
         begun: bool,
     ) -> None:
-        """Takes a request whose connection to a replica was lost.
+        """Handles the loss of a request's connection to a replica.
+
+        For a request that is already suspected, returns after the probe of the
+        replica, or after `PROBE_WAIT_MAX_MS`. For others, returns at once, so
+        that the few suspects do not delay them.
 
-        Returns once the replica is judged, or at once for a request that is no
-        suspect yet: it is not held up for the sake of the few that are.
+        Args:
+          fingerprint: the request's fingerprint.
+          view: the replica.
+          begun: whether a part of the answer had arrived.
         """
         if view.replica.state is not fleet.ReplicaState.HEALTHY:
-            # A replica that leaves may end before its last requests do.
+            # A replica that shuts down may exit before its last requests end.
             return
         lost = LostAttempt(
             fingerprint,
@@ -132,15 +143,17 @@
             begun,
             self._clock.now_ms(),
         )
-        judging = asyncio.create_task(self._judge(lost, view.replica.address))
-        self._judging.add(judging)
-        judging.add_done_callback(self._judging.discard)
+        lost_task = asyncio.create_task(
+            self._probe_replica(lost, view.replica.address)
+        )
+        self._lost_tasks.add(lost_task)
+        lost_task.add_done_callback(self._lost_tasks.discard)
         if self._record.runs_alone(fingerprint):
-            timeout_s = SETTLE_MAX_MS / clock.MILLIS_PER_SECOND
-            await asyncio.wait([judging], timeout=timeout_s)
+            timeout_s = PROBE_WAIT_MAX_MS / clock.MILLIS_PER_SECOND
+            await asyncio.wait([lost_task], timeout=timeout_s)
 
     def note_gone(self, replica_ids: Iterable[str]) -> None:
-        """Takes replicas that are gone, or started again."""
+        """Records crashes at replicas that are gone or were restarted."""
         gone = set(replica_ids)
         horizon_ms = self._clock.now_ms() - PENDING_MAX_MS
         pending, self._pending = self._pending, []
@@ -148,29 +161,29 @@
             if lost.lost_ms < horizon_ms:
                 continue
             if lost.replica_id in gone:
-                self._note_crash(lost)
+                self._record_suspect(lost)
             else:
                 self._pending.append(lost)
 
-    async def _judge(self, lost: LostAttempt, address: str) -> None:
+    async def _probe_replica(self, lost: LostAttempt, address: str) -> None:
         task = self._probes.get(lost.crash_id)
         if task is None:
             task = asyncio.create_task(self._probe(address))
             self._probes[lost.crash_id] = task
-            task.add_done_callback(lambda _: self._forget(lost.crash_id))
+            task.add_done_callback(lambda _: self._forget_probe(lost.crash_id))
         match await task:
             case address_probe.Presence.GONE:
-                self._note_crash(lost)
+                self._record_suspect(lost)
             case address_probe.Presence.UNKNOWN:
                 self._totals.add(counters.CounterName.CRASHES, "not_judged")
                 self._pending.append(lost)
             case address_probe.Presence.THERE:
                 self._totals.add(counters.CounterName.CRASHES, "no_crash")
 
-    def _forget(self, crash: ids.CrashId) -> None:
+    def _forget_probe(self, crash: ids.CrashId) -> None:
         del self._probes[crash]
 
-    def _note_crash(self, lost: LostAttempt) -> None:
+    def _record_suspect(self, lost: LostAttempt) -> None:
         self._totals.add(counters.CounterName.CRASHES, "suspect")
         self._record.add_suspect(
             lost.crash_id,
--- a/src/marlramp/direct/calls/forwarder.py
+++ b/src/marlramp/direct/calls/forwarder.py
@@ -1,4 +1,4 @@
-"""Serves the requests of callers: admission, retries, final answers."""
+"""Serves the requests of callers: admission, retries and final answers."""
 
 from __future__ import annotations
 
@@ -35,36 +35,36 @@
 from marlramp.shell import http1_server
 
 SENDS_MAX = 4
-"""Replicas that one request is sent to, counting those that refused it."""
+"""Most replicas that one request is sent to, including those that refuse it."""
 
 
-class Surroundings(Protocol):
-    """What the forwarder asks the process that it belongs to."""
+class EntryState(Protocol):
+    """The state of the entry that the forwarder belongs to."""
 
     @property
     def routes(self) -> route_table.RouteTable | None:
-        """The configuration in force, None before the first."""
+        """The routes in force, None before the first configuration."""
         ...
 
     @property
     def entries(self) -> int:
-        """The most entries known lately."""
+        """The highest recent number of known entries."""
         ...
 
     def refuses(self) -> bool:
-        """Whether this entry takes no new requests."""
+        """Returns whether this entry refuses new requests."""
         ...
 
 
 class Latencies(Protocol):
-    """Histograms of what callers wait for."""
+    """Histograms of the latencies that callers see."""
 
     def record_first_event(self, taken_ms: float) -> None:
-        """Takes the time from a send to the first event of a stream."""
+        """Records the time from a send to the first event of a stream."""
         ...
 
     def record_answer(self, taken_ms: float) -> None:
-        """Takes the time from a request to the end of its answer."""
+        """Records the time from a request to the end of its answer."""
         ...
 
 
@@ -73,7 +73,7 @@
 
     def __init__(
         self,
-        surroundings: Surroundings,
+        state: EntryState,
         known: catalog.Catalog,
         table: replica_table.ReplicaTable,
         codec: wire.CallCodec,
@@ -84,8 +84,21 @@
         latencies: Latencies,
         time: clock.Clock,
     ) -> None:
-        """Chooses replicas from `table` and reads headers through `codec`."""
-        self._surroundings = surroundings
+        """Creates a forwarder without requests.
+
+        Args:
+          state: state of the entry.
+          known: the announced versions of the weights.
+          table: the replicas.
+          codec: reads and writes request headers.
+          settings: settings of the entry.
+          crashes: detects crashes, and tells which requests are blocked.
+          limits: rate limits of replicas.
+          totals: counters.
+          latencies: histograms.
+          time: the clock.
+        """
+        self._state = state
         self._crashes = crashes
         self._codec = codec
         self._settings = settings
@@ -106,8 +119,8 @@
             self._selector,
             time,
         )
-        self._budgets: dict[ids.ServiceId, retry_share.RetryShare] = {}
-        self._waits: dict[
+        self._retry_shares: dict[ids.ServiceId, retry_share.RetryShare] = {}
+        self._wait_estimates: dict[
             tuple[str, float], caller_wait_estimate.CallerWaitEstimate
         ] = {}
         self.active = 0
@@ -117,13 +130,13 @@
         request: http1_server.Request,
         responder: http1_server.Responder,
     ) -> None:
-        """Answers one request."""
+        """Answers one request, also if it fails."""
         self.active += 1
         request_id = ""
         try:
-            said = self._codec.read(request)
-            request_id = said.request_id
-            call = self._admit(request, said, responder)
+            info = self._codec.read(request)
+            request_id = info.request_id
+            call = self._admit(request, info, responder)
             await self._run(call)
         except errors.CallError as failure:
             self._fail(request_id, failure, responder)
@@ -135,32 +148,32 @@
             self.active -= 1
 
     def set_settings(self, settings: node.NodeSettings) -> None:
-        """Takes changed bounds; repeats already spent stay counted."""
+        """Applies changed settings; retries already spent stay counted."""
         self._settings = settings
         self._selector.set_settings(settings)
         self._signals.set_drain(settings.bounds.drain_ms)
-        for budget in self._budgets.values():
-            budget.configure(
+        for share in self._retry_shares.values():
+            share.configure(
                 settings.bounds.retry_ratio, settings.bounds.retry_slack
             )
 
     def set_cell(self, hosts: Collection[str]) -> None:
-        """Takes the addresses of the VMs whose engines belong to the cell."""
+        """Sets the addresses of the VMs whose engines belong to the cell."""
         self._selector.set_cell(hosts)
 
     def tick(self) -> None:
-        """Closes connections that were idle for too long, logs what ended."""
+        """Closes connections that were idle too long; logs ended pauses."""
         self._sender.tick()
         self._signals.tick()
 
     def forget(self, replica_ids: list[str]) -> None:
-        """Drops connections to replicas that are gone."""
+        """Forgets replicas that are gone or were restarted."""
         self._sender.forget(replica_ids)
         self._signals.forget(replica_ids)
         self._crashes.note_gone(replica_ids)
 
     def note_leaving(self, view: replica_view.ReplicaView) -> None:
-        """Takes from the agent beside a replica that it leaves."""
+        """Records that a replica shuts down, as reported by its agent."""
         self._signals.note_leaving(view, "agent")
 
     # Admission.
@@ -168,26 +181,26 @@
     def _admit(
         self,
         request: http1_server.Request,
-        said: wire.CallerCall,
+        info: wire.CallerCall,
         responder: http1_server.Responder,
     ) -> call_module.Call:
-        routes = self._surroundings.routes
-        if self._surroundings.refuses():
+        routes = self._state.routes
+        if self._state.refuses():
             raise errors.CallError(errors.ErrorKind.ENTRY_LEAVING)
         if routes is None:
             raise errors.CallError(errors.ErrorKind.SETTINGS_MISSING)
-        route = routes.find(said.host, said.path)
-        customer = routes.customer(route, said.authorization)
-        service_id = routes.service_of(route, said.request_id)
+        route = routes.find(info.host, info.path)
+        customer = routes.customer(route, info.authorization)
+        service_id = routes.service_of(route, info.request_id)
         service = routes.services.get(service_id)
         if service is None:
             raise errors.CallError(errors.ErrorKind.NO_UPSTREAM)
         self._totals.add(counters.CounterName.REQUESTS, route.kind.value)
-        self._budget(service_id).record_request(self._clock.now_ms())
-        spent_ms = self._waits_of(route).spent_ms(said.wait_ms)
+        self._retry_share(service_id).record_request(self._clock.now_ms())
+        spent_ms = self._wait_estimate(route).spent_ms(info.wait_ms)
         return call_module.Call(
             request,
-            said,
+            info,
             route,
             service,
             customer,
@@ -196,48 +209,48 @@
             self._clock,
         )
 
-    def _waits_of(
+    def _wait_estimate(
         self, route: fleet.Route
     ) -> caller_wait_estimate.CallerWaitEstimate:
         key = (route.name, route.timeout_ms)
-        return self._waits.setdefault(
+        return self._wait_estimates.setdefault(
             key, caller_wait_estimate.CallerWaitEstimate(route.timeout_ms)
         )
 
-    def _budget(self, service_id: ids.ServiceId) -> retry_share.RetryShare:
-        budget = self._budgets.get(service_id)
-        if budget is None:
+    def _retry_share(self, service_id: ids.ServiceId) -> retry_share.RetryShare:
+        share = self._retry_shares.get(service_id)
+        if share is None:
             bounds = self._settings.bounds
-            budget = retry_share.RetryShare(
+            share = retry_share.RetryShare(
                 bounds.retry_ratio, bounds.retry_slack, bounds.retry_window_ms
             )
-            self._budgets[service_id] = budget
-        return budget
+            self._retry_shares[service_id] = share
+        return share
 
-    # The loop over attempts.
+    # Attempts and retries.
 
     async def _run(self, call: call_module.Call) -> None:
         while True:
-            self._refuse_condemned(call)
+            self._refuse_blocked(call)
             call.suspected = self._crashes.runs_alone(call.fingerprint)
             choice = await self._selector.choose(call)
-            tried = await self._sender.send(call, choice)
-            if tried.unsent:
+            result = await self._sender.send(call, choice)
+            if result.unsent:
                 self._totals.add(counters.CounterName.REPLICA_PAUSES, "unsent")
                 continue
-            failure = tried.outcome.failure
+            failure = result.outcome.failure
             if failure is None:
-                self._succeed(call, tried, choice)
+                self._succeed(call, result, choice)
                 return
-            self._note_failure(call, choice, failure, tried)
-            await self._note_end(call, tried, choice)
-            # A caller that has left meanwhile cancels this before another send.
+            self._record_failure(call, choice, failure, result)
+            await self._check_for_crash(call, result, choice)
+            # Lets the cancellation by a caller that has left take effect first.
             await asyncio.sleep(0)
-            step = self._may_retry(call, failure)
-            if step is None:
-                self._give_up(call, tried.outcome)
+            reason = self._may_retry(call, failure)
+            if reason is None:
+                self._end_failed(call, result.outcome)
                 return
-            self._totals.add(counters.CounterName.RETRIES, step.value)
+            self._totals.add(counters.CounterName.RETRIES, reason.value)
 
     def _may_retry(
         self, call: call_module.Call, failure: errors.CallError
@@ -254,27 +267,27 @@
         if call.maybe_ran and self._crashes.runs_once(call.fingerprint):
             self._totals.add(counters.CounterName.REFUSALS, "suspected")
             return None
-        budget = self._budget(call.service.service_id)
-        if not budget.try_spend(self._surroundings.entries, now_ms):
+        share = self._retry_share(call.service.service_id)
+        if not share.try_spend(self._state.entries, now_ms):
             self._totals.add(counters.CounterName.REFUSALS, "retry_budget")
             return None
         return reason
 
-    def _note_failure(
+    def _record_failure(
         self,
         call: call_module.Call,
         choice: upstream_choice.Choice,
         failure: errors.CallError,
-        tried: sender.Sent,
+        result: sender.SendResult,
     ) -> None:
-        answer = tried.outcome.answer
+        answer = result.outcome.answer
         call.failed.add(choice.view.replica.replica_id)
         if failure.ran is not errors.Ran.NO:
             call.runs += 1
             call.maybe_ran = True
         logs.log(
             "attempt_failed",
-            request=call.said.request_id,
+            request=call.info.request_id,
             fingerprint=call.fingerprint,
             replica=choice.view.replica.replica_id,
             kind=failure.kind.value,
@@ -289,56 +302,56 @@
             load_age_ms=_rounded(choice.load_age_ms),
             limit_per_s=choice.limit_per_s,
             begins_within_ms=_rounded(choice.begins_within_ms),
-            way_ms=round(tried.way_ms),
+            way_ms=round(result.path_latency_ms),
         )
 
     # Requests that crash replicas.
 
-    def _refuse_condemned(self, call: call_module.Call) -> None:
+    def _refuse_blocked(self, call: call_module.Call) -> None:
         if self._crashes.is_condemned(call.fingerprint):
             ran = errors.Ran.UNKNOWN if call.maybe_ran else errors.Ran.NO
             raise errors.CallError(errors.ErrorKind.CRASHES_UPSTREAMS, ran=ran)
 
-    async def _note_end(
+    async def _check_for_crash(
         self,
         call: call_module.Call,
-        tried: sender.Sent,
+        result: sender.SendResult,
         choice: upstream_choice.Choice,
     ) -> None:
-        """Tells what a failed attempt says about its request and replica."""
-        if tried.may_have_crashed:
+        """Records whether a failed attempt may have crashed its replica."""
+        if result.may_have_crashed:
             await self._crashes.note_lost(
                 call.fingerprint,
                 choice.view,
-                begun=tried.first_event_ms is not None,
+                begun=result.first_event_ms is not None,
             )
         elif (
-            tried.outcome.answer is not None
-            and not tried.outcome.answer.not_run
+            result.outcome.answer is not None
+            and not result.outcome.answer.not_run
         ):
-            # A failure that the replica answers itself is no crash.
+            # A failure that the replica itself reports is not a crash.
             self._crashes.note_good(call.fingerprint)
 
-    # Ends.
+    # Final answers.
 
     def _succeed(
         self,
         call: call_module.Call,
-        tried: sender.Sent,
+        result: sender.SendResult,
         choice: upstream_choice.Choice,
     ) -> None:
         self._crashes.note_good(call.fingerprint)
-        answer = tried.outcome.answer
+        answer = result.outcome.answer
         if answer is not None and not call.responder.ended:
-            body = tried.outcome.body
+            body = result.outcome.body
             call.responder.answer(answer.status, answer.headers, body)
         taken_ms = self._clock.now_ms() - call.request.received_ms
         self._latencies.record_answer(taken_ms)
-        if call.route.streaming and tried.first_event_ms is not None:
-            self._latencies.record_first_event(tried.first_event_ms)
+        if call.route.streaming and result.first_event_ms is not None:
+            self._latencies.record_first_event(result.first_event_ms)
         logs.log(
             "request_served",
-            request=call.said.request_id,
+            request=call.info.request_id,
             fingerprint=call.fingerprint,
             replica=choice.view.replica.replica_id,
             status=0 if answer is None else answer.status,
@@ -349,21 +362,25 @@
             unread_tokens=choice.unread_tokens,
             limit_per_s=choice.limit_per_s,
             begins_within_ms=_rounded(choice.begins_within_ms),
-            way_ms=round(tried.way_ms),
+            way_ms=round(result.path_latency_ms),
             place=choice.position.value,
             spent_ms=round(call.spent_ms),
-            first_ms=round(tried.first_event_ms or 0.0),
-            pause_ms=round(call.relay.longest_pause_ms),
+            first_ms=round(result.first_event_ms or 0.0),
+            pause_ms=round(call.relay.longest_gap_ms),
             taken_ms=round(taken_ms),
         )
 
-    def _give_up(
+    def _end_failed(
         self, call: call_module.Call, outcome: attempts.Outcome
     ) -> None:
-        """Ends a call that failed, with the replica's own answer if it ran."""
+        """Ends a failed call.
+
+        The caller receives the replica's own answer if the request ran. A
+        stream that has begun is broken off.
+        """
         answer = outcome.answer
         if call.relay.started:
-            logs.log("stream_broken", request=call.said.request_id)
+            logs.log("stream_broken", request=call.info.request_id)
             self._totals.add(counters.CounterName.REFUSALS, "stream_broken")
             call.responder.abort()
             return
@@ -372,7 +389,9 @@
             return
         failure = outcome.failure
         if failure is None:
-            raise ValueError("the outcome is no failure")
+            raise ValueError(
+                f"the outcome of request {call.info.request_id!r} is no failure"
+            )
         raise errors.CallError(
             failure.kind,
             failure.detail,
@@ -403,5 +422,5 @@
 
 
 def _rounded(value_ms: float) -> int | None:
-    """Returns whole milliseconds for a log line, None for never."""
+    """Returns rounded milliseconds for a log line, None if infinite."""
     return round(value_ms) if math.isfinite(value_ms) else None
--- a/src/marlramp/direct/calls/named_limits.py
+++ b/src/marlramp/direct/calls/named_limits.py
@@ -1,4 +1,4 @@
-"""What a request on its way does with the limits that replicas name."""
+"""Interface between requests and the rate limits that replicas announce."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class NamedLimits(Protocol):
-    """Limits of replicas that hold over all entries together."""
+    """Rate limits of replicas, each shared by all entries."""
 
     def note_answer(
         self,
@@ -18,22 +18,33 @@
         answer: wire.ReplicaAnswer,
         sent_ms: clock.Millis,
     ) -> None:
-        """Takes what an answer says of its replica's limit."""
+        """Records the rate limit that an answer announces, if any.
+
+        Args:
+          view: the replica.
+          answer: the head of the answer.
+          sent_ms: clock reading when the request was sent.
+        """
         ...
 
     async def reserve(
         self, view: replica_view.ReplicaView, wait_max_ms: float
     ) -> float | None:
-        """Returns in how many milliseconds a request may be sent.
+        """Reserves a send to a replica within its rate limit.
+
+        Args:
+          view: the replica.
+          wait_max_ms: longest time that the request may wait.
 
         Returns:
-          None if it can't wait so long.
+          The time in milliseconds until the request may be sent, None if it
+          exceeds `wait_max_ms`.
         """
         ...
 
 
 class Unlimited:
-    """Replicas that name no limits, for tests and replayed loads."""
+    """Replicas without rate limits, for tests and replayed loads."""
 
     def note_answer(
         self,
@@ -41,10 +52,10 @@
         answer: wire.ReplicaAnswer,
         sent_ms: clock.Millis,
     ) -> None:
-        """Takes nothing."""
+        """Ignores the answer."""
 
     async def reserve(
         self, view: replica_view.ReplicaView, wait_max_ms: float
     ) -> float | None:
-        """Returns that a request may be sent now."""
+        """Returns 0: a request may be sent at once."""
         return 0.0
--- a/src/marlramp/direct/calls/own_answers.py
+++ b/src/marlramp/direct/calls/own_answers.py
@@ -1,4 +1,4 @@
-"""Answers of the system's own: failures, by the table of error kinds."""
+"""Writes the entry's own answers to failed requests."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 
 def status_of(failure: errors.CallError) -> int:
-    """Returns the status for a failure.
+    """Returns the HTTP status for a failure.
 
-    A status that promises that nothing ran is given only where that is
-    proven.
+    A status that implies that the request did not run is returned only if that
+    is certain.
     """
     status = failure.status
     if status in (429, 503) and failure.ran is not errors.Ran.NO:
@@ -37,7 +37,10 @@
     failure: errors.CallError,
     request_id: str,
 ) -> None:
-    """Answers a request with a failure."""
+    """Answers a request with a failure, as JSON.
+
+    Status 429 or 503 carries a retry-after header if the failure has a time.
+    """
     status = status_of(failure)
     headers = [_CONTENT_TYPE]
     if status in (429, 503) and failure.retry_after_ms is not None:
--- a/src/marlramp/direct/calls/replica_observer.py
+++ b/src/marlramp/direct/calls/replica_observer.py
@@ -1,4 +1,4 @@
-"""Keeps what is believed of a replica in step with an attempt there."""
+"""Updates an entry's view of a replica from an attempt there."""
 
 from __future__ import annotations
 
@@ -14,10 +14,11 @@
 
 
 class ReplicaObserver:
-    """Keeps a replica's view in step with one attempt there.
+    """Updates the view of a replica from one attempt there.
 
     Attributes:
-      first_event_ms: time from the send to the first event, None before it.
+      first_event_ms: time from the send to the first event, None before the
+        first event.
     """
 
     def __init__(
@@ -28,12 +29,20 @@
         signals: replica_signals.ReplicaSignals,
         time: clock.Clock,
     ) -> None:
-        """Counts the request as sent to the chosen replica."""
+        """Counts the request as sent to the chosen replica.
+
+        Args:
+          choice: the replica and its predicted time to answer.
+          prompt_tokens: number of tokens in the prompt.
+          limits: records the rate limit that the answer announces.
+          signals: records pauses, refusals and the shutdown of the replica.
+          time: the clock.
+        """
         view = choice.view
         self._view = view
         self._unbiased_ms = choice.unbiased_ms
-        self._place = choice.position
-        self._tokens: int | None = prompt_tokens
+        self._position = choice.position
+        self._unread_tokens: int | None = prompt_tokens
         self._limits = limits
         self._signals = signals
         self._clock = time
@@ -43,7 +52,7 @@
         view.record_sent(prompt_tokens, time.now_ms(), choice.position)
 
     def on_answer(self, answer: wire.ReplicaAnswer) -> None:
-        """Takes the load and the weights that the answer tells."""
+        """Records what the head of the answer reports of the replica."""
         now_ms = self._clock.now_ms()
         view = self._view
         view.heard_ms = now_ms
@@ -56,30 +65,30 @@
         self._signals.note_answer(view, answer, self._sent_ms)
 
     def on_first(self) -> None:
-        """Takes the prompt as read."""
+        """Records the wait for the first event; the prompt was read."""
         self._first_ms = self._clock.now_ms()
         self._view.heard_ms = self._first_ms
         taken_ms = self._first_ms - self._sent_ms
         self.first_event_ms = taken_ms
-        self._note_wait(taken_ms)
-        self._read()
+        self._record_wait(taken_ms)
+        self._record_prompt_read()
 
     def on_event(self) -> None:
-        """Takes an event as a sign of life."""
+        """Records that the replica has sent data."""
         self._view.heard_ms = self._clock.now_ms()
 
     def ended(self, outcome: attempts.Outcome, events: int | None) -> None:
-        """Takes the end of the attempt.
+        """Records the end of the attempt.
 
         Args:
-          outcome: how it ended.
-          events: events that a stream brought, None for a plain request.
+          outcome: how the attempt ended.
+          events: number of events of the stream, None for a plain request.
         """
         now_ms = self._clock.now_ms()
         failure = outcome.failure
         if self._first_ms is None and failure is not None:
-            self._note_unbegun()
-        self._read()
+            self._record_abandoned_wait()
+        self._record_prompt_read()
         self._view.record_ended()
         if failure is None:
             self._view.record_success(now_ms)
@@ -88,45 +97,51 @@
             elif events is None:
                 self._view.record_answer(now_ms - self._sent_ms, now_ms)
         elif failure.ran is errors.Ran.NO:
-            self._spare(outcome, now_ms)
+            self._back_off(outcome, now_ms)
         elif outcome.answer is not None:
             self._view.record_error(now_ms)
         else:
             self._view.record_incomplete(now_ms)
 
     def left(self) -> None:
-        """The caller left before the attempt ended."""
+        """Records that the attempt was abandoned without an outcome.
+
+        The caller left, or the request was withdrawn or never written.
+        """
         if self._first_ms is None:
-            self._note_unbegun()
-        self._read()
+            self._record_abandoned_wait()
+        self._record_prompt_read()
         self._view.record_ended()
 
-    def _note_wait(self, taken_ms: float) -> None:
+    def _record_wait(self, taken_ms: float) -> None:
         now_ms = self._clock.now_ms()
-        if self._place is queue_position.QueuePosition.BEHIND:
+        if self._position is queue_position.QueuePosition.BEHIND:
             bias = self._view.behind_bias
             bias.record(taken_ms, self._unbiased_ms, now_ms)
         else:
             self._view.record_first_event(taken_ms, self._unbiased_ms, now_ms)
 
-    def _note_unbegun(self) -> None:
-        """Takes a wait that brought nothing, if it was longer than predicted.
+    def _record_abandoned_wait(self) -> None:
+        """Records a wait without a first event that exceeds the prediction.
 
-        Only of requests that yield: those wait for room, and callers that
-        leave are the only sign that there is none.
+        Only requests at the back of the queue count. They wait until the
+        engine has a free slot, and callers that leave are the only sign that
+        it has none.
         """
         waited_ms = self._clock.now_ms() - self._sent_ms
-        yielded = self._place is queue_position.QueuePosition.BEHIND
-        if yielded and waited_ms > self._unbiased_ms:
-            self._note_wait(waited_ms)
+        behind = self._position is queue_position.QueuePosition.BEHIND
+        if behind and waited_ms > self._unbiased_ms:
+            self._record_wait(waited_ms)
 
-    def _read(self) -> None:
-        if self._tokens is not None:
-            self._view.record_prompt_read(self._tokens, self._place)
-            self._tokens = None
+    def _record_prompt_read(self) -> None:
+        if self._unread_tokens is not None:
+            self._view.record_prompt_read(self._unread_tokens, self._position)
+            self._unread_tokens = None
 
-    def _spare(self, outcome: attempts.Outcome, now_ms: clock.Millis) -> None:
-        """Leaves a replica alone that was not reached or is not the one."""
+    def _back_off(
+        self, outcome: attempts.Outcome, now_ms: clock.Millis
+    ) -> None:
+        """Backs off from a replica that was unreachable or misdirected to."""
         if outcome.answer is None:
             self._view.record_unreachable(now_ms)
             return
--- a/src/marlramp/direct/calls/replica_signals.py
+++ b/src/marlramp/direct/calls/replica_signals.py
@@ -1,7 +1,8 @@
-"""What replicas say of when they take requests, in the answers that come here.
+"""Records pauses, refusals and shutdowns that replicas report in their answers.
 
-Every answer tells, also one that a repeat hides from the caller. Only the entry
-that was asked is bound by it; a restart of the entry forgets it.
+Every answer counts, including one that a retry hides from the caller. A report
+applies only to the entry that received it, and does not survive a restart of
+the entry.
 """
 
 from __future__ import annotations
@@ -20,12 +21,12 @@
 
 _TOO_MANY_REQUESTS = 429
 _UNAVAILABLE = 503
-_PAUSING = frozenset({_TOO_MANY_REQUESTS, _UNAVAILABLE})
-_REFUSING = frozenset({408, errors.MISDIRECTED, *_PAUSING})
+_PAUSE_STATUSES = frozenset({_TOO_MANY_REQUESTS, _UNAVAILABLE})
+_REFUSAL_STATUSES = frozenset({408, errors.MISDIRECTED, *_PAUSE_STATUSES})
 
 
 class ReplicaSignals:
-    """Takes what answers say into the views of their replicas."""
+    """Records the reports of answers in the views of their replicas."""
 
     def __init__(
         self,
@@ -34,13 +35,15 @@
         time: clock.Clock,
         rng: random.Random,
     ) -> None:
-        """Knows nothing yet.
+        """Creates an object without reports.
 
         Args:
-          drain_ms: how long a replica that leaves may get requests.
+          drain_ms: time for which a replica that shuts down may still be sent
+            requests.
           totals: counters.
           time: the clock.
-          rng: draws when this entry returns to a replica that paused.
+          rng: picks the time at which this entry returns to a replica after a
+            pause.
         """
         self._drain_ms = drain_ms
         self._totals = totals
@@ -51,7 +54,7 @@
         self._unreadable = seen_values.SeenValues()
 
     def set_drain(self, drain_ms: float) -> None:
-        """Takes another time for replicas that say from now on they leave."""
+        """Sets the drain time for replicas that report a shutdown later."""
         self._drain_ms = drain_ms
 
     def note_answer(
@@ -60,32 +63,33 @@
         answer: wire.ReplicaAnswer,
         sent_ms: clock.Millis,
     ) -> None:
-        """Takes the head of an answer.
+        """Records what the head of an answer reports.
 
         Args:
-          view: the replica as it was when the request was sent.
-          answer: the answer.
-          sent_ms: when the request was sent.
+          view: the view that the replica had when the request was sent.
+          answer: the head of the answer.
+          sent_ms: clock reading when the request was sent.
         """
         if answer.status == errors.MISDIRECTED:
-            # Perhaps of another replica that got the address.
+            # The answer may come from another replica that now has the address.
             return
         now_ms = self._clock.now_ms()
         if answer.leaving:
             self.note_leaving(view, "answer")
-        if answer.status in _PAUSING:
-            self._note_pause(view, answer, now_ms)
+        if answer.status in _PAUSE_STATUSES:
+            self._record_pause(view, answer, now_ms)
         if answer.not_run:
             view.availability.record_refusal(sent_ms, now_ms)
-        elif answer.status not in _REFUSING:
+        elif answer.status not in _REFUSAL_STATUSES:
             view.availability.record_served(sent_ms, now_ms)
 
     def note_leaving(self, view: replica_view.ReplicaView, source: str) -> None:
-        """Takes that a replica leaves.
+        """Records that a replica shuts down.
 
         Args:
           view: the replica.
-          source: who says so: an answer to this entry, or the agent beside it.
+          source: origin of the report: "answer" for an answer to this entry,
+            "agent" for the agent beside the replica.
         """
         now_ms = self._clock.now_ms()
         if not view.availability.record_leaving(self._drain_ms, now_ms):
@@ -101,7 +105,7 @@
             source=source,
         )
 
-    def _note_pause(
+    def _record_pause(
         self,
         view: replica_view.ReplicaView,
         answer: wire.ReplicaAnswer,
@@ -109,7 +113,7 @@
     ) -> None:
         replica_id = view.replica.replica_id
         if answer.retry_after_unreadable:
-            self._note_unreadable(replica_id, answer.retry_after_unreadable)
+            self._log_unreadable(replica_id, answer.retry_after_unreadable)
         if answer.retry_after_ms is None:
             return
         change = view.availability.record_pause(
@@ -129,22 +133,22 @@
             source="answer",
         )
 
-    def _note_unreadable(self, replica_id: str, value: str) -> None:
+    def _log_unreadable(self, replica_id: str, value: str) -> None:
         self._totals.add(counters.CounterName.REPLICA_PAUSES, "unreadable")
         if self._unreadable.is_new(replica_id, value):
             logs.log("retry_after_unreadable", replica=replica_id, value=value)
 
-    # Ends.
+    # Ends of pauses and replicas.
 
     def tick(self) -> None:
-        """Logs the pauses that are over."""
+        """Logs the pauses that have ended."""
         now_ms = self._clock.now_ms()
         for replica_id, view in list(self._paused.items()):
             if not view.availability.is_paused(now_ms):
                 self._end_pause(replica_id, "over")
 
     def forget(self, replica_ids: Iterable[str]) -> None:
-        """Logs that replicas are gone or started again."""
+        """Ends the reports of replicas that are gone or were restarted."""
         for replica_id in replica_ids:
             self._end_pause(replica_id, "gone")
             if self._leaving.pop(replica_id, None) is not None:
--- a/src/marlramp/direct/calls/selection.py
+++ b/src/marlramp/direct/calls/selection.py
@@ -1,4 +1,8 @@
-"""Chooses the replica for a call, or refuses the call at once."""
+"""Selects the replica for a call, or refuses the call.
+
+A call waits for a short time if no replica is open, and for the rate limit of
+the selected replica.
+"""
 
 from __future__ import annotations
 
@@ -22,30 +26,33 @@
 from marlramp.settings import node
 
 CHOICE_POLL_MS = 20.0
-"""Between two looks for a replica while none takes work: agents report a
-change as soon."""
+"""Time between two checks for a replica while none accepts requests. Agents
+report changes as quickly."""
 
 HOLD_SHARE_MAX = 0.12
-"""Part of its objective that a request waits for a replica to open: long enough
-for one that is spared for a moment, short enough that its caller loses nothing
-if none does."""
+"""Part of its objective for which a request waits for a replica to open. It is
+long enough for a replica in a short backoff, and short enough that the caller
+loses nothing if no replica opens."""
 
 BEGUN_HOLD_SHARE = 0.5
-"""Part of the time that its caller stays which a request waits that may have
-run: it can't be refused as one that has not, and a stream would be cut."""
+"""Part of the caller's remaining wait for which a request that may have run
+waits for a replica to open. It can't be refused as a request that has not run,
+and a stream would be cut."""
 
 RETRY_AFTER_OPEN_MS = 60.0
-"""When to come back if a replica could take the request, and only the repeats
-that are allowed are used up."""
+"""Time after which a caller should retry if a replica could accept the request
+and only the permitted retries are used up."""
 
 RETRY_AFTER_PLAIN_MS = 500.0
-"""When to come back to a plain service if nothing better is known."""
+"""Time after which a caller should retry at a plain service if no replica has a
+known opening time."""
 
 RETRY_AFTER_ENGINE_MS = 1_400.0
-"""The same for model engines: one that starts takes its weights from what is
-staged, within 1.3 s. A caller that comes back sooner is refused again."""
+"""Time after which a caller should retry at a model engine if no replica has a
+known opening time. An engine that starts loads staged weights within 1.3 s; a
+caller that retries sooner is refused again."""
 
-_KINDS = {
+_ERROR_KINDS = {
     admission.RefusalReason.LATE: errors.ErrorKind.DEADLINE_UNREACHABLE,
     admission.RefusalReason.LIMITED: errors.ErrorKind.UPSTREAMS_LIMITED,
     admission.RefusalReason.PAUSED: errors.ErrorKind.UPSTREAMS_PAUSED,
@@ -54,7 +61,7 @@
 
 
 class Selector:
-    """Ranks the replicas that may run a call."""
+    """Selects the replicas that run calls."""
 
     def __init__(
         self,
@@ -64,7 +71,15 @@
         limits: named_limits.NamedLimits,
         time: clock.Clock,
     ) -> None:
-        """Chooses from `table`, by the versions named in `known`."""
+        """Creates a selector.
+
+        Args:
+          known: the announced versions of the weights.
+          table: the replicas.
+          settings: settings of the entry.
+          limits: rate limits of replicas.
+          time: the clock.
+        """
         self._limits = limits
         self._catalog = known
         self._table = table
@@ -72,34 +87,36 @@
         self._started_ms = time.now_ms()
         self._rng = random.Random()
         self._version_bound_ms = settings.bounds.version_ms
-        self._places = upstream_choice.PreferredLocations(
+        self._locations = upstream_choice.PreferredLocations(
             settings.near_data_centres
         )
 
     def set_settings(self, settings: node.NodeSettings) -> None:
-        """Takes changed bounds."""
+        """Applies changed settings."""
         self._version_bound_ms = settings.bounds.version_ms
 
     def set_cell(self, hosts: Collection[str]) -> None:
-        """Takes the addresses of the VMs whose engines belong to the cell."""
-        near = self._places.near
-        self._places = upstream_choice.PreferredLocations(
+        """Sets the addresses of the VMs whose engines belong to the cell."""
+        near = self._locations.near
+        self._locations = upstream_choice.PreferredLocations(
             near, frozenset(hosts)
         )
 
     async def choose(self, call: call_module.Call) -> upstream_choice.Choice:
-        """Returns the best replica, waiting a little while none is open.
+        """Returns the best replica; waits for a short time if none is open.
 
         Raises:
-          CallError: if none can take the request in time.
+          CallError: if no replica can accept the request in time.
         """
         give_up_ms = self._give_up_ms(call)
         while True:
             now_ms = self._clock.now_ms()
             decision = self._decide(call, now_ms)
             if isinstance(decision, upstream_choice.Choice):
-                if await self._reserved(call, decision):
-                    return self._with_end(call, decision, self._clock.now_ms())
+                if await self._wait_for_limit(call, decision):
+                    return self._with_withdrawal(
+                        call, decision, self._clock.now_ms()
+                    )
                 continue
             if decision is not None and not _opens_by(
                 decision, now_ms, give_up_ms
@@ -110,20 +127,21 @@
             await asyncio.sleep(CHOICE_POLL_MS / _MS)
 
     def _give_up_ms(self, call: call_module.Call) -> float:
-        """Returns until when a call waits for a replica to open."""
+        """Returns until when a call waits for a replica, a clock reading."""
         if call.relay.started or call.maybe_ran:
             now_ms = self._clock.now_ms()
-            return now_ms + BEGUN_HOLD_SHARE * call.stays_ms(now_ms)
-        hold_ms = HOLD_SHARE_MAX * call.route.objective_ms
-        return min(call.request.received_ms + hold_ms, call.ends_ms)
+            return now_ms + BEGUN_HOLD_SHARE * call.caller_wait_ms(now_ms)
+        wait_ms = HOLD_SHARE_MAX * call.route.objective_ms
+        return min(call.request.received_ms + wait_ms, call.ends_ms)
 
-    async def _reserved(
+    async def _wait_for_limit(
         self, call: call_module.Call, choice: upstream_choice.Choice
     ) -> bool:
-        """Waits until a chosen replica's limit lets the call through.
+        """Waits until the selected replica's rate limit permits the call.
 
         Returns:
-          False if it does not, or the replica takes the call no more.
+          False if the call would wait too long, or if the replica no longer
+          accepts it after the wait.
         """
         view = choice.view
         if view.limit is None:
@@ -134,8 +152,8 @@
         if wait_ms > 0:
             await asyncio.sleep(wait_ms / _MS)
         now_ms = self._clock.now_ms()
-        wanted = self._wanted(call, now_ms)
-        return upstream_choice.still_usable(view, wanted, now_ms)
+        needs = self._needs(call, now_ms)
+        return upstream_choice.still_usable(view, needs, now_ms)
 
     def _decide(
         self,
@@ -143,65 +161,74 @@
         now_ms: clock.Millis,
         failed: Collection[str] | None = None,
     ) -> upstream_choice.Choice | admission.Refusal | None:
-        """Returns where a call goes.
+        """Returns the replica for a call, or why there is none.
 
         Args:
           call: the call.
           now_ms: the time.
-          failed: ids of replicas that it may not go to, else those that it
-            failed at.
+          failed: ids of the replicas to exclude; by default, those at which
+            the call has failed.
+
+        Returns:
+          The choice, or the refusal; None if no replica may receive the call
+          now.
         """
-        stays_ms = call.stays_ms(now_ms)
-        wanted = self._wanted(call, now_ms)
+        caller_wait_ms = call.caller_wait_ms(now_ms)
+        needs = self._needs(call, now_ms)
         if failed is not None:
-            wanted = msgspec.structs.replace(wanted, failed=failed)
+            needs = msgspec.structs.replace(needs, failed=failed)
         request = admission.Request(
-            wanted=wanted,
+            wanted=needs,
             elapsed_ms=call.elapsed_ms(now_ms),
-            wait_max_ms=stays_ms,
-            oldest_behind=self._oldest_weights(call.service, stays_ms, now_ms),
+            wait_max_ms=caller_wait_ms,
+            oldest_behind=self._oldest_weights(
+                call.service, caller_wait_ms, now_ms
+            ),
             objective_ms=call.route.objective_ms,
             begun=call.relay.started,
             maybe_ran=call.maybe_ran,
         )
         views = self._table.of(call.service.service_id)
-        return admission.decide(views, request, self._places, now_ms, self._rng)
+        return admission.decide(
+            views, request, self._locations, now_ms, self._rng
+        )
 
-    def _wanted(
+    def _needs(
         self, call: call_module.Call, now_ms: clock.Millis
     ) -> upstream_choice.RequestNeeds:
         return upstream_choice.RequestNeeds(
             engine=call.service.engine,
-            prompt_tokens=call.said.prompt_tokens,
+            prompt_tokens=call.info.prompt_tokens,
             events=call.expected_events(),
             oldest_weights=self._oldest_weights(
                 call.service, version_cutoff.QUEUE_MARGIN_MS, now_ms
             ),
-            cutoffs=self._leaves(call.service, now_ms),
+            cutoffs=self._cutoffs(call.service, now_ms),
             failed=call.failed,
             isolated=call.suspected,
             limit_wait_max_ms=call.limit_wait_max_ms(now_ms),
         )
 
-    def _with_end(
+    def _with_withdrawal(
         self,
         call: call_module.Call,
         choice: upstream_choice.Choice,
         now_ms: clock.Millis,
     ) -> upstream_choice.Choice:
-        """Returns a choice that says until when the request may begin."""
+        """Returns a choice with the time until the request is withdrawn."""
         weights = choice.view.weights(now_ms)
         chosen = msgspec.structs.replace(choice, weights=weights)
-        dated = self.dated(call, chosen)
-        left_ms = dated.withdrawal_ms(now_ms) - now_ms
-        return msgspec.structs.replace(dated, begins_within_ms=left_ms)
+        current = self.with_cutoffs(call, chosen)
+        left_ms = current.withdrawal_ms(now_ms) - now_ms
+        return msgspec.structs.replace(current, begins_within_ms=left_ms)
 
-    def dated(
+    def with_cutoffs(
         self, call: call_module.Call, choice: upstream_choice.Choice
     ) -> upstream_choice.Choice:
-        """Returns a choice with its ends as they are known now.
+        """Returns a choice with the cutoffs that are known now.
 
-        What is known of named versions changes while a request waits.
+        Versions are announced, or their ages become known, while a request
+        waits.
         """
         target = self._target(call.service)
         if target is None:
@@ -217,7 +244,7 @@
             ),
         )
 
-    def _leaves(
+    def _cutoffs(
         self, service: fleet.Service, now_ms: clock.Millis
     ) -> list[version_cutoff.VersionCutoff]:
         target = self._target(service)
@@ -254,9 +281,10 @@
         )
 
     def retry_after_ms(self, call: call_module.Call) -> int:
-        """Returns when a caller should come back if no replica took it.
+        """Returns the time in ms after which a refused caller should retry.
 
-        Replicas that it failed at count too: it comes back as another request.
+        Replicas at which the call failed count as well, since the retry is
+        another request.
         """
         now_ms = self._clock.now_ms()
         decision = self._decide(call, now_ms, failed=())
@@ -272,13 +300,13 @@
 def _opens_by(
     refusal: admission.Refusal, now_ms: clock.Millis, until_ms: float
 ) -> bool:
-    """Returns whether a replica ends its pause while the request may wait."""
+    """Returns whether a pause ends by the clock reading `until_ms`."""
     paused = refusal.reason is admission.RefusalReason.PAUSED
     return paused and now_ms + refusal.late_ms < until_ms
 
 
 def _refused(refusal: admission.Refusal) -> errors.CallError:
-    kind = _KINDS[refusal.reason]
+    kind = _ERROR_KINDS[refusal.reason]
     return errors.CallError(
         kind,
         _detail(refusal),
--- a/src/marlramp/direct/calls/sender.py
+++ b/src/marlramp/direct/calls/sender.py
@@ -1,4 +1,9 @@
-"""Sends a call to one replica and waits for what comes of it."""
+"""Sends a call to one replica and waits for the outcome.
+
+A request that waits at a replica is withdrawn before the replica's version of
+the weights may no longer begin it. The path latency to the replica is checked
+while the request waits, since the withdrawal takes as long to arrive.
+"""
 
 from __future__ import annotations
 
@@ -27,31 +32,35 @@
 from marlramp.shell import http1_client
 
 FRESH_IDLE_SHARE = 0.5
-"""Part of a connection's idle time within which it takes a request that may
-run only once: a close on the way would leave its outcome unknown."""
+"""Part of a connection's longest idle time up to which it may carry a request
+that may run only once. If the replica closed the connection while the request
+was in transit, the outcome would be unknown."""
 
 RESUMED_PRIORITY = 1
-"""Rank of a stream that goes on: its caller sees the gap."""
+"""Priority of a stream that continues at another replica: its caller notices
+the gap."""
 
 BEHIND_PRIORITY = 8
-"""Rank of a request that is late whatever happens; others have 5."""
+"""Priority of a request that is late in any case; others have 5."""
+
+CHECK_INTERVAL_MS = 500.0
+"""Longest wait before the clock is read again. Timers of the event loop stop
+while the VM is suspended, but deadlines do not."""
 
-LOOK_MS = 500.0
-"""Longest wait before the clock is read again: timers of the event loop stand
-still while the VM is suspended, deadlines do not."""
+UNBEGUN_CHECK_INTERVAL_MS = 50.0
+"""Longest wait before the clock is read again for a request that waits at an
+engine, since a newer version may become mandatory."""
 
-UNBEGUN_LOOK_MS = 50.0
-"""The same of a request that waits at an engine, whose version may end."""
-LEAVING_MS = 1_000.0
-"""Time before a request is taken back from an old version in which the way to
-the replica is looked at more often: more than a way can grow by."""
+WITHDRAWAL_NEAR_MS = 1_000.0
+"""Time before the withdrawal of a request from an old version in which the path
+latency to the replica is checked more often. A path latency grows by less."""
 
-WAY_POLL_MS = 20.0
-"""Between two such looks."""
+LATENCY_POLL_MS = 20.0
+"""Time between two checks of the path latency before a withdrawal."""
 
-CONDEMNED_POLL_MS = 20.0
-"""Between two looks whether a request that is suspected of crashes has been
-condemned while it waits at a replica."""
+BLOCKED_POLL_MS = 20.0
+"""Time between two checks whether a request that is suspected of crashes was
+blocked while it waits at a replica."""
 
 _CRASH_LOSSES = frozenset(
     {http1_client.LossKind.CLOSED, http1_client.LossKind.RESET}
@@ -59,18 +68,19 @@
 _MS = clock.MILLIS_PER_SECOND
 
 
-class Sent(msgspec.Struct):
-    """What became of one send.
+class SendResult(msgspec.Struct):
+    """The result of one send.
 
     Attributes:
       outcome: how the attempt ended.
-      stalled: whether it was given up while the replica was at work.
-      withdrawn: whether it was taken back from a replica that goes on.
-      unsent: whether the replica closed, or its version could no longer begin
-        the request, before that was written.
-      first_event_ms: time to the first event, None if none came.
-      way_ms: way to the replica that was reckoned with, the longer one of
-        when the request was written and when it was given up.
+      stalled: whether the attempt timed out.
+      withdrawn: whether the request was withdrawn because it was blocked; the
+        replica is not at fault.
+      unsent: whether the request was not written because the replica had
+        closed, or its version could no longer begin the request.
+      first_event_ms: time from the send to the first event, None without one.
+      path_latency_ms: assumed path latency to the replica; the larger of the
+        values when the request was written and when it timed out.
     """
 
     outcome: attempts.Outcome
@@ -78,7 +88,7 @@
     withdrawn: bool = False
     unsent: bool = False
     first_event_ms: float | None = None
-    way_ms: float = 0.0
+    path_latency_ms: float = 0.0
 
     @property
     def may_have_crashed(self) -> bool:
@@ -88,49 +98,49 @@
         return lost and failure is not None and failure.ran is not errors.Ran.NO
 
 
-class VersionEnds(Protocol):
-    """Until when requests may begin on a version."""
+class VersionCutoffs(Protocol):
+    """Cutoffs of the versions that replicas hold."""
 
-    def dated(
+    def with_cutoffs(
         self, call: call_module.Call, choice: upstream_choice.Choice
     ) -> upstream_choice.Choice:
-        """Returns a choice with its ends as they are known now."""
+        """Returns a choice with the cutoffs that are known now."""
         ...
 
 
 class Sender:
-    """Owns the connections to replicas."""
+    """Sends calls to replicas and owns the connections to them."""
 
     def __init__(
         self,
         codec: wire.CallCodec,
-        is_condemned: Callable[[ids.Fingerprint], bool],
+        is_blocked: Callable[[ids.Fingerprint], bool],
         limits: named_limits.NamedLimits,
         signals: replica_signals.ReplicaSignals,
-        ends: VersionEnds,
+        cutoffs: VersionCutoffs,
         time: clock.Clock,
     ) -> None:
-        """Owns no connection yet.
+        """Creates a sender without connections.
 
         Args:
           codec: writes and reads headers.
-          is_condemned: tells whether a request is not to be run again.
-          limits: takes the limits that answers name.
-          signals: takes what else answers say of their replica.
-          ends: tells until when a call may begin where it was sent.
+          is_blocked: returns whether a request must not run again.
+          limits: records the rate limits that answers announce.
+          signals: records pauses, refusals and shutdowns of replicas.
+          cutoffs: the cutoffs of versions.
           time: the clock.
         """
         self._codec = codec
-        self._is_condemned = is_condemned
+        self._is_blocked = is_blocked
         self._limits = limits
         self._signals = signals
-        self._ends = ends
+        self._cutoffs = cutoffs
         self._clock = time
         self._pools: dict[str, http1_client.ConnectionPool] = {}
         self._probes = way_probes.WayProbes(time)
 
     def tick(self) -> None:
-        """Closes connections that were idle for too long."""
+        """Closes connections that were idle too long."""
         for pool in self._pools.values():
             pool.drop_stale()
 
@@ -143,13 +153,13 @@
 
     async def send(
         self, call: call_module.Call, choice: upstream_choice.Choice
-    ) -> Sent:
-        """Sends a call to the chosen replica; returns when that has ended."""
+    ) -> SendResult:
+        """Sends a call to the selected replica and returns the result."""
         view = choice.view
         call.sends += 1
         observer = replica_observer.ReplicaObserver(
             choice,
-            call.said.prompt_tokens,
+            call.info.prompt_tokens,
             self._limits,
             self._signals,
             self._clock,
@@ -167,41 +177,44 @@
                     )
                 )
                 observer.ended(outcome, None)
-                return Sent(outcome)
+                return SendResult(outcome)
             now_ms = self._clock.now_ms()
-            # What it asks for is what limits it, whatever it was chosen as.
+            # The cutoffs are those of the version that the request names, even
+            # if the replica was selected for another version.
             weights = view.weights(now_ms)
             choice = msgspec.structs.replace(choice, weights=weights)
-            choice = self._ends.dated(call, choice)
+            choice = self._cutoffs.with_cutoffs(call, choice)
             if not view.accepts_assigned(now_ms) or not choice.may_be_written(
                 now_ms
             ):
                 call.sends -= 1
                 observer.left()
                 pool.give_back(connection)
-                return Sent(_unsent(), unsent=True)
-            way_ms = view.path_latency_ms(now_ms)
-            tried = await self._exchange(call, choice, connection, observer)
-            tried.way_ms = max(tried.way_ms, way_ms)
+                return SendResult(_unsent(), unsent=True)
+            path_latency_ms = view.path_latency_ms(now_ms)
+            result = await self._exchange(call, choice, connection, observer)
+            result.path_latency_ms = max(
+                result.path_latency_ms, path_latency_ms
+            )
         except asyncio.CancelledError:
             observer.left()
             if connection is not None:
                 connection.abort()
-            logs.log("caller_left", request=call.said.request_id)
+            logs.log("caller_left", request=call.info.request_id)
             raise
-        if tried.withdrawn:
+        if result.withdrawn:
             observer.left()
             connection.abort()
-            return tried
+            return result
         events = call.relay.splitter.events if call.route.streaming else None
-        observer.ended(tried.outcome, events)
-        tried.first_event_ms = observer.first_event_ms
-        if tried.stalled:
+        observer.ended(result.outcome, events)
+        result.first_event_ms = observer.first_event_ms
+        if result.stalled:
             connection.abort()
-            # Idle connections there may have gone silent with this one.
+            # Idle connections to the replica may be dead as well.
             pool.close()
         pool.give_back(connection)
-        return tried
+        return result
 
     async def _connect(
         self,
@@ -211,9 +224,10 @@
     ) -> http1_client.ReplicaConnection | None:
         view = choice.view
         share = 1.0 if call.route.repeatable else FRESH_IDLE_SHARE
-        asked_ms = self._clock.now_ms()
-        # Opening one measures the way, before an old version gets the request.
-        if not choice.needs_latency(asked_ms):
+        started_ms = self._clock.now_ms()
+        # Opening a connection measures the path latency before the request
+        # goes to an old version.
+        if not choice.needs_latency(started_ms):
             connection = pool.take_idle(share)
             if connection is not None:
                 return connection
@@ -221,11 +235,11 @@
             connection = await pool.open()
         except OSError as error:
             logs.log(
-                "connect_failed", request=call.said.request_id, error=error
+                "connect_failed", request=call.info.request_id, error=error
             )
             return None
         now_ms = self._clock.now_ms()
-        view.record_latency(now_ms - asked_ms, now_ms)
+        view.record_latency(now_ms - started_ms, now_ms)
         return connection
 
     async def _exchange(
@@ -234,69 +248,75 @@
         choice: upstream_choice.Choice,
         connection: http1_client.ReplicaConnection,
         observer: replica_observer.ReplicaObserver,
-    ) -> Sent:
-        attempt = self._attempt(call, observer)
+    ) -> SendResult:
+        attempt = self._new_attempt(call, observer)
         dispatch = self._dispatch(call, choice)
         head = self._codec.head(call.request, dispatch)
         call.responder.on_pressure(connection.pause, connection.resume)
         connection.send(call.request.method, head, call.request.body, attempt)
         while True:
-            choice = self._ends.dated(call, choice)
-            if self._is_leaving(call, choice, attempt):
+            choice = self._cutoffs.with_cutoffs(call, choice)
+            if self._nears_withdrawal(call, choice, attempt):
                 pool = self._pool(choice.view.replica)
                 self._probes.look(choice.view, pool)
-            limit_ms = self._limit_ms(call, choice, attempt)
-            wait_ms = limit_ms - self._clock.now_ms()
-            wait_ms = min(wait_ms, self._look_ms(call, choice, attempt))
+            deadline_ms = self._deadline_ms(call, choice, attempt)
+            wait_ms = deadline_ms - self._clock.now_ms()
+            wait_ms = min(
+                wait_ms, self._check_interval_ms(call, choice, attempt)
+            )
             if wait_ms > 0:
                 await asyncio.wait([attempt.finished], timeout=wait_ms / _MS)
             if attempt.finished.done():
-                return Sent(attempt.finished.result())
-            if self._clock.now_ms() >= self._limit_ms(call, choice, attempt):
-                return Sent(
-                    self._stalled(call, attempt),
+                return SendResult(attempt.finished.result())
+            if self._clock.now_ms() >= self._deadline_ms(call, choice, attempt):
+                return SendResult(
+                    self._timeout_outcome(call, attempt),
                     stalled=True,
-                    way_ms=choice.view.path_latency_ms(self._clock.now_ms()),
+                    path_latency_ms=choice.view.path_latency_ms(
+                        self._clock.now_ms()
+                    ),
                 )
-            # One that has begun may yet end well and clear itself.
-            if not attempt.begun and self._is_condemned(call.fingerprint):
-                return Sent(_condemned(), withdrawn=True)
+            # A request that has begun may still succeed and be cleared.
+            if not attempt.begun and self._is_blocked(call.fingerprint):
+                return SendResult(_blocked(), withdrawn=True)
 
-    def _look_ms(
+    def _check_interval_ms(
         self,
         call: call_module.Call,
         choice: upstream_choice.Choice,
         attempt: attempts.Attempt,
     ) -> float:
-        """Returns after how long the attempt is looked at again."""
+        """Returns the time until the attempt is checked again."""
         if call.suspected:
-            return CONDEMNED_POLL_MS
+            return BLOCKED_POLL_MS
         if call.service.engine is None or attempt.begun:
-            return LOOK_MS
-        leaving = self._is_leaving(call, choice, attempt)
-        return WAY_POLL_MS if leaving else UNBEGUN_LOOK_MS
+            return CHECK_INTERVAL_MS
+        nears_withdrawal = self._nears_withdrawal(call, choice, attempt)
+        return (
+            LATENCY_POLL_MS if nears_withdrawal else UNBEGUN_CHECK_INTERVAL_MS
+        )
 
-    def _is_leaving(
+    def _nears_withdrawal(
         self,
         call: call_module.Call,
         choice: upstream_choice.Choice,
         attempt: attempts.Attempt,
     ) -> bool:
-        """Returns whether it waits for a version that is left soon."""
+        """Returns whether an unbegun attempt is to be withdrawn soon."""
         if call.service.engine is None or attempt.begun:
             return False
         left_ms = choice.begins_until_ms - self._clock.now_ms()
-        return left_ms < LEAVING_MS
+        return left_ms < WITHDRAWAL_NEAR_MS
 
-    def _attempt(
+    def _new_attempt(
         self, call: call_module.Call, observer: replica_observer.ReplicaObserver
     ) -> attempts.Attempt:
         if call.route.streaming:
             call.relay.splitter.reset()
             return attempts.StreamAttempt(
-                self._codec, call.said, observer, self._clock, call.relay
+                self._codec, call.info, observer, self._clock, call.relay
             )
-        return attempts.Attempt(self._codec, call.said, observer, self._clock)
+        return attempts.Attempt(self._codec, call.info, observer, self._clock)
 
     def _dispatch(
         self, call: call_module.Call, choice: upstream_choice.Choice
@@ -315,13 +335,13 @@
             resume_after=call.relay.splitter.last_id,
         )
 
-    def _limit_ms(
+    def _deadline_ms(
         self,
         call: call_module.Call,
         choice: upstream_choice.Choice,
         attempt: attempts.Attempt,
     ) -> float:
-        """Returns until when the attempt is waited for."""
+        """Returns when the attempt times out, a clock reading."""
         route = call.route
         sends_left = call.runs + 1 <= route.attempts_max - 1
         gap_timeout_ms = caller_timeout.gap_timeout_ms(route)
@@ -339,12 +359,12 @@
         )
         return attempt_timeouts.deadline_ms(waiting)
 
-    def _stalled(
+    def _timeout_outcome(
         self, call: call_module.Call, attempt: attempts.Attempt
     ) -> attempts.Outcome:
-        late = self._clock.now_ms() >= call.ends_ms
+        is_late = self._clock.now_ms() >= call.ends_ms
         kind = errors.ErrorKind.UPSTREAM_LOST
-        if late:
+        if is_late:
             kind = errors.ErrorKind.DEADLINE_EXCEEDED
         return attempts.Outcome(
             failure=errors.CallError(
@@ -370,18 +390,18 @@
     return attempts.Outcome(failure=failure)
 
 
-def _condemned() -> attempts.Outcome:
+def _blocked() -> attempts.Outcome:
     kind = errors.ErrorKind.CRASHES_UPSTREAMS
     failure = errors.CallError(kind, ran=errors.Ran.UNKNOWN)
     return attempts.Outcome(failure=failure)
 
 
 def _priority(
-    call: call_module.Call, place: queue_position.QueuePosition
+    call: call_module.Call, position: queue_position.QueuePosition
 ) -> int | None:
-    """Returns the rank in the replica's queue, None for the default."""
+    """Returns the priority in the replica's queue, None for the default."""
     if call.relay.started:
         return RESUMED_PRIORITY
-    if place is queue_position.QueuePosition.BEHIND:
+    if position is queue_position.QueuePosition.BEHIND:
         return BEHIND_PRIORITY
     return None
--- a/src/marlramp/direct/calls/way_probes.py
+++ b/src/marlramp/direct/calls/way_probes.py
@@ -1,8 +1,11 @@
-"""Measures the way to replicas at which requests wait on a version that ends.
+"""Measures the path latency to replicas whose waiting requests end soon.
 
-A request that waits is taken back by the way to its replica, and a link may
-fill while it waits. What opening a connection takes is the way behind the same
-queues; what it has taken so far is the least that the way can be.
+A request that waits for an old version of the weights is withdrawn before a
+newer version becomes mandatory. The withdrawal takes the path latency to the
+replica, and the link may become congested while the request waits. Opening a
+connection measures the latency, since it passes the same queues. While the
+connection is being opened, the time that it has taken is a lower bound of the
+latency.
 """
 
 from __future__ import annotations
@@ -14,20 +17,20 @@
 from marlramp.core import replica_view
 from marlramp.shell import http1_client
 
-PROBE_MS = 250.0
-"""Age of the way measured last after which it is measured again."""
+LATENCY_AGE_MAX_MS = 250.0
+"""Age of the last measured path latency from which it is measured again."""
 
 
 class _Probe(NamedTuple):
-    asked_ms: clock.Millis
+    started_ms: clock.Millis
     task: asyncio.Task[None]
 
 
 class WayProbes:
-    """Opens a connection at a time to each replica whose way is asked for."""
+    """Measures path latencies, with one connection at a time to a replica."""
 
     def __init__(self, time: clock.Clock) -> None:
-        """Measures nothing yet."""
+        """Creates an object without probes."""
         self._clock = time
         self._probes: dict[str, _Probe] = {}
 
@@ -36,18 +39,22 @@
         view: replica_view.ReplicaView,
         pool: http1_client.ConnectionPool,
     ) -> None:
-        """Notes what is known of the way now, and measures it if need be.
+        """Records a lower bound of the path latency, or starts a measurement.
+
+        A measurement starts if none is in progress and the last one is older
+        than `LATENCY_AGE_MAX_MS`.
 
         Args:
           view: the replica.
-          pool: its connections; the one that is opened is kept there.
+          pool: connections to the replica; keeps the connection that is
+            opened.
         """
         now_ms = self._clock.now_ms()
         replica_id = view.replica.replica_id
         probe = self._probes.get(replica_id)
         if probe is not None:
-            view.record_latency_at_least(now_ms - probe.asked_ms, now_ms)
-        elif view.latency.age_ms(now_ms) > PROBE_MS:
+            view.record_latency_at_least(now_ms - probe.started_ms, now_ms)
+        elif view.latency.age_ms(now_ms) > LATENCY_AGE_MAX_MS:
             task = asyncio.create_task(self._open(view, pool, now_ms))
             self._probes[replica_id] = _Probe(now_ms, task)
 
@@ -55,7 +62,7 @@
         self,
         view: replica_view.ReplicaView,
         pool: http1_client.ConnectionPool,
-        asked_ms: clock.Millis,
+        started_ms: clock.Millis,
     ) -> None:
         try:
             connection = await pool.open()
@@ -64,5 +71,5 @@
         finally:
             del self._probes[view.replica.replica_id]
         now_ms = self._clock.now_ms()
-        view.record_latency(now_ms - asked_ms, now_ms)
+        view.record_latency(now_ms - started_ms, now_ms)
         pool.give_back(connection)
--- a/src/marlramp/direct/calls/wire.py
+++ b/src/marlramp/direct/calls/wire.py
@@ -1,4 +1,8 @@
-"""What the direct path needs to know of a platform's request headers."""
+"""The contents of request and answer headers that the direct path uses.
+
+The platform implements `CallCodec`, so that the direct path does not depend on
+the names of its headers.
+"""
 
 from __future__ import annotations
 
@@ -12,17 +16,18 @@
 
 
 class CallerCall(msgspec.Struct, frozen=True, kw_only=True):
-    """What a caller says of its request.
+    """What a caller's headers say of its request.
 
     Attributes:
-      request_id: the caller's id of this attempt, "" if it gave none.
-      host: host asked for, in lower case and without a port.
-      path: path without query.
+      request_id: the caller's id of this attempt, "" if there is none.
+      host: requested host, in lower case and without a port.
+      path: path without the query.
       authorization: credentials as sent.
-      wait_ms: how long the caller will wait, None if it does not say.
-      prompt_tokens: tokens of the prompt, 0 for plain requests.
-      output_tokens_max: most tokens to be generated.
-      output_tokens_hint: the caller's estimate of them, 0 without one.
+      wait_ms: how long the caller waits, None if it does not say.
+      prompt_tokens: number of tokens in the prompt, 0 for plain requests.
+      output_tokens_max: largest number of tokens to generate.
+      output_tokens_hint: the caller's estimate of the number of generated
+        tokens, 0 if there is none.
     """
 
     request_id: ids.RequestId
@@ -36,16 +41,18 @@
 
 
 class Dispatch(msgspec.Struct, frozen=True, kw_only=True):
-    """What the system adds to a request for one replica.
+    """What an entry adds to a request that it sends to a replica.
 
     Attributes:
-      replica_id: the only replica that may run it.
-      wait_ms: how long the replica may work on it.
+      replica_id: the only replica that may run the request.
+      wait_ms: how long the replica may work on the request.
       customer_id: the customer, None if there is none.
-      weights: the version it must begin on, None for a plain service.
-      priority: rank in the replica's queue, 0 first, None for the default.
-      resume_after: id of the last event that the caller has, "" for none
-        beyond what the caller itself said.
+      weights: version that the request must begin on, None for a plain
+        service.
+      priority: priority in the replica's queue, 0 for the most urgent, None
+        for the default.
+      resume_after: id of the last event that this entry forwarded to the
+        caller, "" if there is none.
     """
 
     replica_id: str
@@ -57,7 +64,12 @@
 
 
 class ReplicaLoad(msgspec.Struct, frozen=True):
-    """Load that a replica tells with its answers."""
+    """Load that a replica reports with its answers.
+
+    Attributes:
+      running: number of requests that run.
+      waiting: number of requests that wait.
+    """
 
     running: int
     waiting: int
@@ -69,20 +81,21 @@
     Attributes:
       status: HTTP status code.
       mine: whether the answer belongs to the request that was sent.
-      signed: whether it bears the replica's proof.
-      not_run: whether the replica vouches that it did not run the request.
-      encoded: whether the body is not the replica's own bytes.
-      weights: version of the weights, None if it does not say.
-      load: the replica's load, None if it does not say.
-      limit_per_s: requests a second that the replica takes from all callers
-        together, None if it names no limit.
-      limit_unreadable: a limit that names no rate, "" if there is none.
-      retry_after_ms: time after which the replica is to be asked again, None if
-        it names none.
-      retry_after_unreadable: a value of it that names no time, "" if there is
-        none.
-      leaving: whether the replica says that it leaves.
-      headers: what is passed on to the caller.
+      signed: whether the answer carries the replica's signature.
+      not_run: whether the replica states that it did not run the request.
+      encoded: whether the body is encoded, and so not the replica's own bytes.
+      weights: version of the weights, None if the answer does not say.
+      load: the replica's load, None if the answer does not say.
+      headers: headers that are forwarded to the caller.
+      limit_per_s: rate limit that the replica announces, in requests per
+        second from all callers together; None for none.
+      limit_unreadable: value of a rate limit that can't be parsed, "" if there
+        is none.
+      retry_after_ms: time after which the replica may be sent requests again,
+        None if the answer does not say.
+      retry_after_unreadable: value of a retry time that can't be parsed, "" if
+        there is none.
+      leaving: whether the replica reports that it shuts down.
     """
 
     status: int
@@ -104,7 +117,7 @@
     """Reads and writes the platform's request headers."""
 
     def read(self, request: http1_server.Request) -> CallerCall:
-        """Returns what a caller says.
+        """Returns what the headers of a caller's request say.
 
         Raises:
           CallError: if the headers are malformed.
@@ -112,11 +125,11 @@
         ...
 
     def head(self, request: http1_server.Request, dispatch: Dispatch) -> bytes:
-        """Returns the head of the request to a replica."""
+        """Returns the head of a request to a replica, encoded."""
         ...
 
     def answer(
         self, head: http1_client.ResponseHead, call: CallerCall
     ) -> ReplicaAnswer:
-        """Returns what the head of an answer says."""
+        """Returns what the head of a replica's answer to a call says."""
         ...
