--- a/src/marlramp/direct/calls/way_probes.py
+++ b/src/marlramp/direct/calls/latency_probes.py
@@ -26,7 +26,7 @@
     task: asyncio.Task[None]
 
 
-class WayProbes:
+class LatencyProbes:
     """Measures path latencies, with one connection at a time to a replica."""
 
     def __init__(self, time: clock.Clock) -> None:
@@ -34,7 +34,7 @@
         self._clock = time
         self._probes: dict[str, _Probe] = {}
 
-    def look(
+    def check(
         self,
         view: replica_view.ReplicaView,
         pool: http1_client.ConnectionPool,
--- a/src/marlramp/direct/calls/sender.py
+++ b/src/marlramp/direct/calls/sender.py
@@ -24,10 +24,10 @@
 from marlramp.core import upstream_choice
 from marlramp.direct.calls import attempts
 from marlramp.direct.calls import call as call_module
+from marlramp.direct.calls import latency_probes
 from marlramp.direct.calls import named_limits
 from marlramp.direct.calls import replica_observer
 from marlramp.direct.calls import replica_signals
-from marlramp.direct.calls import way_probes
 from marlramp.direct.calls import wire
 from marlramp.shell import http1_client
 
@@ -137,7 +137,7 @@
         self._cutoffs = cutoffs
         self._clock = time
         self._pools: dict[str, http1_client.ConnectionPool] = {}
-        self._probes = way_probes.WayProbes(time)
+        self._probes = latency_probes.LatencyProbes(time)
 
     def tick(self) -> None:
         """Closes connections that were idle too long."""
@@ -258,7 +258,7 @@
             choice = self._cutoffs.with_cutoffs(call, choice)
             if self._nears_withdrawal(call, choice, attempt):
                 pool = self._pool(choice.view.replica)
-                self._probes.look(choice.view, pool)
+                self._probes.check(choice.view, pool)
             deadline_ms = self._deadline_ms(call, choice, attempt)
             wait_ms = deadline_ms - self._clock.now_ms()
             wait_ms = min(
