--- a/src/marlramp/direct/calls/forwarder.py
+++ b/src/marlramp/direct/calls/forwarder.py
@@ -25,8 +25,8 @@
 from marlramp.direct.calls import attempts
 from marlramp.direct.calls import call as call_module
 from marlramp.direct.calls import crash_watch
-from marlramp.direct.calls import named_limits
 from marlramp.direct.calls import own_answers
+from marlramp.direct.calls import rate_limits
 from marlramp.direct.calls import replica_signals
 from marlramp.direct.calls import selection
 from marlramp.direct.calls import sender
@@ -79,7 +79,7 @@
         codec: wire.CallCodec,
         settings: node.NodeSettings,
         crashes: crash_watch.CrashWatch,
-        limits: named_limits.NamedLimits,
+        limits: rate_limits.RateLimits,
         totals: counters.Counters,
         latencies: Latencies,
         time: clock.Clock,
--- a/src/marlramp/direct/calls/named_limits.py
+++ b/src/marlramp/direct/calls/rate_limits.py
@@ -9,7 +9,7 @@
 from marlramp.direct.calls import wire
 
 
-class NamedLimits(Protocol):
+class RateLimits(Protocol):
     """Rate limits of replicas, each shared by all entries."""
 
     def note_answer(
--- a/src/marlramp/direct/calls/replica_observer.py
+++ b/src/marlramp/direct/calls/replica_observer.py
@@ -8,7 +8,7 @@
 from marlramp.core import replica_view
 from marlramp.core import upstream_choice
 from marlramp.direct.calls import attempts
-from marlramp.direct.calls import named_limits
+from marlramp.direct.calls import rate_limits
 from marlramp.direct.calls import replica_signals
 from marlramp.direct.calls import wire
 
@@ -25,7 +25,7 @@
         self,
         choice: upstream_choice.Choice,
         prompt_tokens: int,
-        limits: named_limits.NamedLimits,
+        limits: rate_limits.RateLimits,
         signals: replica_signals.ReplicaSignals,
         time: clock.Clock,
     ) -> None:
--- a/src/marlramp/direct/calls/selection.py
+++ b/src/marlramp/direct/calls/selection.py
@@ -22,7 +22,7 @@
 from marlramp.core import upstream_choice
 from marlramp.core import version_cutoff
 from marlramp.direct.calls import call as call_module
-from marlramp.direct.calls import named_limits
+from marlramp.direct.calls import rate_limits
 from marlramp.settings import node
 
 CHOICE_POLL_MS = 20.0
@@ -68,7 +68,7 @@
         known: catalog.Catalog,
         table: replica_table.ReplicaTable,
         settings: node.NodeSettings,
-        limits: named_limits.NamedLimits,
+        limits: rate_limits.RateLimits,
         time: clock.Clock,
     ) -> None:
         """Creates a selector.
--- a/src/marlramp/direct/calls/sender.py
+++ b/src/marlramp/direct/calls/sender.py
@@ -25,7 +25,7 @@
 from marlramp.direct.calls import attempts
 from marlramp.direct.calls import call as call_module
 from marlramp.direct.calls import latency_probes
-from marlramp.direct.calls import named_limits
+from marlramp.direct.calls import rate_limits
 from marlramp.direct.calls import replica_observer
 from marlramp.direct.calls import replica_signals
 from marlramp.direct.calls import wire
@@ -115,7 +115,7 @@
         self,
         codec: wire.CallCodec,
         is_blocked: Callable[[ids.Fingerprint], bool],
-        limits: named_limits.NamedLimits,
+        limits: rate_limits.RateLimits,
         signals: replica_signals.ReplicaSignals,
         cutoffs: VersionCutoffs,
         time: clock.Clock,
--- a/src/marlramp/experiments/overload.py
+++ b/src/marlramp/experiments/overload.py
@@ -26,7 +26,7 @@
 from marlramp.core import replica_view
 from marlramp.core import upstream_choice
 from marlramp.direct.calls import attempts
-from marlramp.direct.calls import named_limits
+from marlramp.direct.calls import rate_limits
 from marlramp.direct.calls import replica_observer
 from marlramp.direct.calls import replica_signals
 from marlramp.direct.calls import wire
@@ -256,7 +256,7 @@
         observer = replica_observer.ReplicaObserver(
             choice,
             caller.prompt_tokens,
-            named_limits.Unlimited(),
+            rate_limits.Unlimited(),
             self._signals,
             self._time,
         )
--- a/tests/direct/conftest.py
+++ b/tests/direct/conftest.py
@@ -25,7 +25,7 @@
 from marlramp.direct import metrics
 from marlramp.direct.calls import crash_watch
 from marlramp.direct.calls import forwarder
-from marlramp.direct.calls import named_limits
+from marlramp.direct.calls import rate_limits
 from marlramp.platform import headers
 from marlramp.settings import node
 from marlramp.shell import address_probe
@@ -173,7 +173,7 @@
                 self.totals,
                 time,
             ),
-            named_limits.Unlimited(),
+            rate_limits.Unlimited(),
             self.totals,
             metrics.Metrics(self.totals),
             time,
