--- a/src/marlramp/direct/calls/rate_limits.py
+++ b/src/marlramp/direct/calls/rate_limits.py
@@ -12,7 +12,7 @@
 class RateLimits(Protocol):
     """Rate limits of replicas, each shared by all entries."""
 
-    def note_answer(
+    def handle_answer(
         self,
         view: replica_view.ReplicaView,
         answer: wire.ReplicaAnswer,
@@ -46,7 +46,7 @@
 class Unlimited:
     """Replicas without rate limits, for tests and replayed loads."""
 
-    def note_answer(
+    def handle_answer(
         self,
         view: replica_view.ReplicaView,
         answer: wire.ReplicaAnswer,
--- a/src/marlramp/direct/calls/replica_observer.py
+++ b/src/marlramp/direct/calls/replica_observer.py
@@ -61,8 +61,8 @@
         if answer.weights is not None:
             view.seen_weights = answer.weights
             view.seen_ms = now_ms
-        self._limits.note_answer(view, answer, self._sent_ms)
-        self._signals.note_answer(view, answer, self._sent_ms)
+        self._limits.handle_answer(view, answer, self._sent_ms)
+        self._signals.handle_answer(view, answer, self._sent_ms)
 
     def on_first(self) -> None:
         """Records the wait for the first event; the prompt was read."""
--- a/src/marlramp/direct/calls/replica_signals.py
+++ b/src/marlramp/direct/calls/replica_signals.py
@@ -57,7 +57,7 @@
         """Sets the drain time for replicas that report a shutdown later."""
         self._drain_ms = drain_ms
 
-    def note_answer(
+    def handle_answer(
         self,
         view: replica_view.ReplicaView,
         answer: wire.ReplicaAnswer,
--- a/src/marlramp/direct/fleet/entry_limits.py
+++ b/src/marlramp/direct/fleet/entry_limits.py
@@ -58,14 +58,14 @@
 
     # What requests ask for.
 
-    def note_answer(
+    def handle_answer(
         self,
         view: replica_view.ReplicaView,
         answer: wire.ReplicaAnswer,
         sent_ms: clock.Millis,
     ) -> None:
         """Takes what an answer says of its replica's limit."""
-        self._sync.note_answer(view, answer, sent_ms)
+        self._sync.handle_answer(view, answer, sent_ms)
 
     async def reserve(
         self, view: replica_view.ReplicaView, wait_max_ms: float
--- a/src/marlramp/direct/fleet/limit_sync.py
+++ b/src/marlramp/direct/fleet/limit_sync.py
@@ -67,7 +67,7 @@
 
     # What own answers say.
 
-    def note_answer(
+    def handle_answer(
         self,
         view: replica_view.ReplicaView,
         answer: wire.ReplicaAnswer,
--- a/tests/direct/fleet/limited_fleet.py
+++ b/tests/direct/fleet/limited_fleet.py
@@ -213,7 +213,7 @@
         if not entry.running:
             return
         view.record_ended()
-        entry.limits.note_answer(view, answer(per_s), sent_ms)
+        entry.limits.handle_answer(view, answer(per_s), sent_ms)
         self.served += 1
 
 
