--- a/src/marlramp/direct/calls/own_answers.py
+++ b/src/marlramp/direct/calls/error_answers.py
@@ -32,7 +32,7 @@
     return status
 
 
-def give(
+def send(
     responder: http1_server.Responder,
     failure: errors.CallError,
     request_id: str,
