--- a/src/marlramp/direct/calls/crash_watch.py
+++ b/src/marlramp/direct/calls/crash_detector.py
@@ -61,7 +61,7 @@
     lost_ms: float
 
 
-class CrashWatch:
+class CrashDetector:
     """Detects crashes, and restricts the requests that are suspects of them."""
 
     def __init__(
--- a/src/marlramp/direct/calls/forwarder.py
+++ b/src/marlramp/direct/calls/forwarder.py
@@ -24,7 +24,7 @@
 from marlramp.core import upstream_choice
 from marlramp.direct.calls import attempts
 from marlramp.direct.calls import call as call_module
-from marlramp.direct.calls import crash_watch
+from marlramp.direct.calls import crash_detector
 from marlramp.direct.calls import error_answers
 from marlramp.direct.calls import rate_limits
 from marlramp.direct.calls import replica_signals
@@ -78,7 +78,7 @@
         table: replica_table.ReplicaTable,
         codec: wire.CallCodec,
         settings: node.NodeSettings,
-        crashes: crash_watch.CrashWatch,
+        crashes: crash_detector.CrashDetector,
         limits: rate_limits.RateLimits,
         totals: counters.Counters,
         latencies: Latencies,
--- a/src/marlramp/direct/entry_daemon.py
+++ b/src/marlramp/direct/entry_daemon.py
@@ -24,7 +24,7 @@
 from marlramp.direct import pause_pages
 from marlramp.direct import settings_watch
 from marlramp.direct import side_server
-from marlramp.direct.calls import crash_watch
+from marlramp.direct.calls import crash_detector
 from marlramp.direct.calls import forwarder
 from marlramp.direct.fleet import entry_fleet
 from marlramp.direct.fleet import store_reader
@@ -119,7 +119,7 @@
             self._table,
             headers.PlatformCallCodec(),
             settings,
-            crash_watch.CrashWatch(
+            crash_detector.CrashDetector(
                 self._crashes,
                 address_probe.probe,
                 self._fleet.tell_crashes,
--- a/tests/direct/conftest.py
+++ b/tests/direct/conftest.py
@@ -23,7 +23,7 @@
 from marlramp.core import replica_view
 from marlramp.core import route_table
 from marlramp.direct import metrics
-from marlramp.direct.calls import crash_watch
+from marlramp.direct.calls import crash_detector
 from marlramp.direct.calls import forwarder
 from marlramp.direct.calls import rate_limits
 from marlramp.platform import headers
@@ -166,7 +166,7 @@
             self.table,
             headers.PlatformCallCodec(),
             SETTINGS,
-            crash_watch.CrashWatch(
+            crash_detector.CrashDetector(
                 self.crashes,
                 address_probe.probe,
                 lambda: None,
