--- a/src/marlramp/direct/calls/crash_detector.py
+++ b/src/marlramp/direct/calls/crash_detector.py
@@ -94,7 +94,7 @@
 
     # Restrictions of suspects.
 
-    def is_condemned(self, fingerprint: ids.Fingerprint) -> bool:
+    def is_blocked(self, fingerprint: ids.Fingerprint) -> bool:
         """Returns whether a request must not run again."""
         return self._record.is_blocked(fingerprint)
 
@@ -111,11 +111,11 @@
 
     # Ends of attempts and replicas.
 
-    def note_good(self, fingerprint: ids.Fingerprint) -> None:
+    def record_success(self, fingerprint: ids.Fingerprint) -> None:
         """Records that a request ran without a crash."""
         self._record.record_success(fingerprint, self._clock.now_ms())
 
-    async def note_lost(
+    async def handle_loss(
         self,
         fingerprint: ids.Fingerprint,
         view: replica_view.ReplicaView,
@@ -152,7 +152,7 @@
             timeout_s = PROBE_WAIT_MAX_MS / clock.MILLIS_PER_SECOND
             await asyncio.wait([lost_task], timeout=timeout_s)
 
-    def note_gone(self, replica_ids: Iterable[str]) -> None:
+    def handle_gone(self, replica_ids: Iterable[str]) -> None:
         """Records crashes at replicas that are gone or were restarted."""
         gone = set(replica_ids)
         horizon_ms = self._clock.now_ms() - PENDING_MAX_MS
--- a/src/marlramp/direct/calls/forwarder.py
+++ b/src/marlramp/direct/calls/forwarder.py
@@ -113,7 +113,7 @@
         )
         self._sender = sender.Sender(
             codec,
-            crashes.is_condemned,
+            crashes.is_blocked,
             limits,
             self._signals,
             self._selector,
@@ -170,7 +170,7 @@
         """Forgets replicas that are gone or were restarted."""
         self._sender.forget(replica_ids)
         self._signals.forget(replica_ids)
-        self._crashes.note_gone(replica_ids)
+        self._crashes.handle_gone(replica_ids)
 
     def note_leaving(self, view: replica_view.ReplicaView) -> None:
         """Records that a replica shuts down, as reported by its agent."""
@@ -308,7 +308,7 @@
     # Requests that crash replicas.
 
     def _refuse_blocked(self, call: call_module.Call) -> None:
-        if self._crashes.is_condemned(call.fingerprint):
+        if self._crashes.is_blocked(call.fingerprint):
             ran = errors.Ran.UNKNOWN if call.maybe_ran else errors.Ran.NO
             raise errors.CallError(errors.ErrorKind.CRASHES_UPSTREAMS, ran=ran)
 
@@ -320,7 +320,7 @@
     ) -> None:
         """Records whether a failed attempt may have crashed its replica."""
         if result.may_have_crashed:
-            await self._crashes.note_lost(
+            await self._crashes.handle_loss(
                 call.fingerprint,
                 choice.view,
                 begun=result.first_event_ms is not None,
@@ -330,7 +330,7 @@
             and not result.outcome.answer.not_run
         ):
             # A failure that the replica itself reports is not a crash.
-            self._crashes.note_good(call.fingerprint)
+            self._crashes.record_success(call.fingerprint)
 
     # Final answers.
 
@@ -340,7 +340,7 @@
         result: sender.SendResult,
         choice: upstream_choice.Choice,
     ) -> None:
-        self._crashes.note_good(call.fingerprint)
+        self._crashes.record_success(call.fingerprint)
         answer = result.outcome.answer
         if answer is not None and not call.responder.ended:
             body = result.outcome.body
