--- a/src/marlramp/direct/calls/forwarder.py
+++ b/src/marlramp/direct/calls/forwarder.py
@@ -172,9 +172,9 @@
         self._signals.forget(replica_ids)
         self._crashes.handle_gone(replica_ids)
 
-    def note_leaving(self, view: replica_view.ReplicaView) -> None:
+    def record_leaving(self, view: replica_view.ReplicaView) -> None:
         """Records that a replica shuts down, as reported by its agent."""
-        self._signals.note_leaving(view, "agent")
+        self._signals.record_leaving(view, "agent")
 
     # Admission.
 
--- a/src/marlramp/direct/calls/replica_signals.py
+++ b/src/marlramp/direct/calls/replica_signals.py
@@ -75,7 +75,7 @@
             return
         now_ms = self._clock.now_ms()
         if answer.leaving:
-            self.note_leaving(view, "answer")
+            self.record_leaving(view, "answer")
         if answer.status in _PAUSE_STATUSES:
             self._record_pause(view, answer, now_ms)
         if answer.not_run:
@@ -83,7 +83,9 @@
         elif answer.status not in _REFUSAL_STATUSES:
             view.availability.record_served(sent_ms, now_ms)
 
-    def note_leaving(self, view: replica_view.ReplicaView, source: str) -> None:
+    def record_leaving(
+        self, view: replica_view.ReplicaView, source: str
+    ) -> None:
         """Records that a replica shuts down.
 
         Args:
--- a/src/marlramp/direct/entry_daemon.py
+++ b/src/marlramp/direct/entry_daemon.py
@@ -321,7 +321,7 @@
 
     def _note_leaving(self, view: replica_view.ReplicaView) -> None:
         """Takes a replica that its agent reports to leave."""
-        self._forwarder.note_leaving(view)
+        self._forwarder.record_leaving(view)
 
     def _forget(self, replica_ids: list[str]) -> None:
         """Drops what is kept of replicas that are gone."""
