--- a/src/marlramp/direct/calls/attempts.py
+++ b/src/marlramp/direct/calls/attempts.py
@@ -76,7 +76,7 @@
     def __init__(
         self,
         codec: wire.CallCodec,
-        call: wire.CallerCall,
+        call: wire.RequestInfo,
         observer: Observer,
         time: clock.Clock,
     ) -> None:
@@ -266,7 +266,7 @@
     def __init__(
         self,
         codec: wire.CallCodec,
-        call: wire.CallerCall,
+        call: wire.RequestInfo,
         observer: Observer,
         time: clock.Clock,
         relay: StreamRelay,
--- a/src/marlramp/direct/calls/call.py
+++ b/src/marlramp/direct/calls/call.py
@@ -53,7 +53,7 @@
     def __init__(
         self,
         request: http1_server.Request,
-        info: wire.CallerCall,
+        info: wire.RequestInfo,
         route: fleet.Route,
         service: fleet.Service,
         customer: fleet.Customer | None,
--- a/src/marlramp/direct/calls/forwarder.py
+++ b/src/marlramp/direct/calls/forwarder.py
@@ -181,7 +181,7 @@
     def _admit(
         self,
         request: http1_server.Request,
-        info: wire.CallerCall,
+        info: wire.RequestInfo,
         responder: http1_server.Responder,
     ) -> call_module.Call:
         routes = self._state.routes
--- a/src/marlramp/direct/calls/wire.py
+++ b/src/marlramp/direct/calls/wire.py
@@ -15,7 +15,7 @@
 from marlramp.shell import http1_server
 
 
-class CallerCall(msgspec.Struct, frozen=True, kw_only=True):
+class RequestInfo(msgspec.Struct, frozen=True, kw_only=True):
     """What a caller's headers say of its request.
 
     Attributes:
@@ -116,7 +116,7 @@
 class CallCodec(Protocol):
     """Reads and writes the platform's request headers."""
 
-    def read(self, request: http1_server.Request) -> CallerCall:
+    def read(self, request: http1_server.Request) -> RequestInfo:
         """Returns what the headers of a caller's request say.
 
         Raises:
@@ -129,7 +129,7 @@
         ...
 
     def answer(
-        self, head: http1_client.ResponseHead, call: CallerCall
+        self, head: http1_client.ResponseHead, call: RequestInfo
     ) -> ReplicaAnswer:
         """Returns what the head of a replica's answer to a call says."""
         ...
--- a/src/marlramp/platform/headers.py
+++ b/src/marlramp/platform/headers.py
@@ -66,13 +66,13 @@
 class PlatformCallCodec:
     """The platform's `CallCodec`."""
 
-    def read(self, request: http1_server.Request) -> wire.CallerCall:
+    def read(self, request: http1_server.Request) -> wire.RequestInfo:
         """Returns what a caller says."""
         tokens = _integers(request.header(_TOKENS), "token counts")
         hint = _integers(request.header(_HINT), "length hint")
         wait = request.header(_WAIT)
         path, _, _ = request.target.partition(b"?")
-        return wire.CallerCall(
+        return wire.RequestInfo(
             request_id=ids.RequestId(request.header(_REQUEST_ID)),
             host=_host(request.header(b"host")),
             path=path.decode("latin-1"),
@@ -112,7 +112,7 @@
         return b"\r\n".join(lines) + b"\r\n\r\n"
 
     def answer(
-        self, head: http1_client.ResponseHead, call: wire.CallerCall
+        self, head: http1_client.ResponseHead, call: wire.RequestInfo
     ) -> wire.ReplicaAnswer:
         """Returns what the head of an answer says."""
         echo = head.header(_REQUEST_ID)
