--- a/src/marlramp/direct/calls/attempts.py
+++ b/src/marlramp/direct/calls/attempts.py
@@ -103,7 +103,7 @@
         """Checks that the answer belongs to the request, and reports it."""
         self.progress_ms = self._clock.now_ms()
         answer = self._codec.answer(head, self._call)
-        if not answer.mine:
+        if not answer.matches_request:
             self._finish(
                 _failure(
                     errors.ErrorKind.ANSWER_INVALID,
--- a/src/marlramp/direct/calls/wire.py
+++ b/src/marlramp/direct/calls/wire.py
@@ -99,7 +99,7 @@
     """
 
     status: int
-    mine: bool
+    matches_request: bool
     signed: bool
     not_run: bool
     encoded: bool
--- a/src/marlramp/experiments/overload.py
+++ b/src/marlramp/experiments/overload.py
@@ -380,7 +380,7 @@
 def _answer(engine: overload_engine.Engine) -> wire.ReplicaAnswer:
     return wire.ReplicaAnswer(
         status=200 if engine.open else errors.MISDIRECTED,
-        mine=True,
+        matches_request=True,
         signed=True,
         not_run=not engine.open,
         encoded=False,
--- a/src/marlramp/platform/headers.py
+++ b/src/marlramp/platform/headers.py
@@ -123,7 +123,7 @@
         asked = retry_after.of_answer(head)
         return wire.ReplicaAnswer(
             status=head.status,
-            mine=mine,
+            matches_request=mine,
             signed=head.header(_SIGNATURE) is not None,
             not_run=not_run or head.status == _MISDIRECTED,
             encoded=head.header(b"content-encoding") is not None,
--- a/tests/direct/fleet/limited_fleet.py
+++ b/tests/direct/fleet/limited_fleet.py
@@ -221,7 +221,7 @@
     """Returns a good answer that names a limit, or none."""
     return wire.ReplicaAnswer(
         status=200,
-        mine=True,
+        matches_request=True,
         signed=True,
         not_run=False,
         encoded=False,
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -108,7 +108,7 @@
 def test_answer_of_another_request_is_noticed() -> None:
     call = CODEC.read(request())
     head = http1_client.ResponseHead(200, [(b"x-attempt-id", b"other")])
-    assert not CODEC.answer(head, call).mine
+    assert not CODEC.answer(head, call).matches_request
 
 
 def test_refusal_is_known_by_status_or_header() -> None:
