--- a/src/marlramp/direct/calls/replica_observer.py
+++ b/src/marlramp/direct/calls/replica_observer.py
@@ -77,7 +77,7 @@
         """Records that the replica has sent data."""
         self._view.heard_ms = self._clock.now_ms()
 
-    def ended(self, outcome: attempts.Outcome, events: int | None) -> None:
+    def record_end(self, outcome: attempts.Outcome, events: int | None) -> None:
         """Records the end of the attempt.
 
         Args:
@@ -103,7 +103,7 @@
         else:
             self._view.record_incomplete(now_ms)
 
-    def left(self) -> None:
+    def record_abandoned(self) -> None:
         """Records that the attempt was abandoned without an outcome.
 
         The caller left, or the request was withdrawn or never written.
--- a/src/marlramp/direct/calls/sender.py
+++ b/src/marlramp/direct/calls/sender.py
@@ -176,7 +176,7 @@
                         ran=errors.Ran.NO,
                     )
                 )
-                observer.ended(outcome, None)
+                observer.record_end(outcome, None)
                 return SendResult(outcome)
             now_ms = self._clock.now_ms()
             # The cutoffs are those of the version that the request names, even
@@ -188,7 +188,7 @@
                 now_ms
             ):
                 call.sends -= 1
-                observer.left()
+                observer.record_abandoned()
                 pool.give_back(connection)
                 return SendResult(_unsent(), unsent=True)
             path_latency_ms = view.path_latency_ms(now_ms)
@@ -197,17 +197,17 @@
                 result.path_latency_ms, path_latency_ms
             )
         except asyncio.CancelledError:
-            observer.left()
+            observer.record_abandoned()
             if connection is not None:
                 connection.abort()
             logs.log("caller_left", request=call.info.request_id)
             raise
         if result.withdrawn:
-            observer.left()
+            observer.record_abandoned()
             connection.abort()
             return result
         events = call.relay.splitter.events if call.route.streaming else None
-        observer.ended(result.outcome, events)
+        observer.record_end(result.outcome, events)
         result.first_event_ms = observer.first_event_ms
         if result.stalled:
             connection.abort()
--- a/src/marlramp/experiments/overload.py
+++ b/src/marlramp/experiments/overload.py
@@ -271,7 +271,7 @@
                 self._second(caller).late += 1
 
         def on_end() -> None:
-            observer.ended(attempts.Outcome(failure=None), caller.events)
+            observer.record_end(attempts.Outcome(failure=None), caller.events)
 
         job = overload_engine.Job(
             place=choice.position,
@@ -285,7 +285,7 @@
         def on_gap() -> None:
             if not job.begun and not job.left:
                 job.left = True
-                observer.left()
+                observer.record_abandoned()
                 self._second(caller).left += 1
 
         self._in(WAY_MS, lambda: self._take(name, job, caller, observer))
@@ -304,7 +304,7 @@
             failure = errors.CallError(
                 errors.ErrorKind.UPSTREAM_BUSY, ran=errors.Ran.NO
             )
-            observer.ended(
+            observer.record_end(
                 attempts.Outcome(failure=failure, answer=_answer(engine)), None
             )
             self._come_back(caller, admission.RETRY_AFTER_MIN_MS)
