--- a/src/marlramp/direct/calls/attempts.py
+++ b/src/marlramp/direct/calls/attempts.py
@@ -49,7 +49,7 @@
         """Handles the head of the answer."""
         ...
 
-    def on_first(self) -> None:
+    def on_first_event(self) -> None:
         """Handles the first event, or a plain answer that is no failure."""
         ...
 
@@ -158,7 +158,7 @@
     def _record_first(self) -> None:
         if not self.begun:
             self.begun = True
-            self._observer.on_first()
+            self._observer.on_first_event()
 
     def _finish(self, outcome: Outcome) -> None:
         if not self.finished.done():
--- a/src/marlramp/direct/calls/replica_observer.py
+++ b/src/marlramp/direct/calls/replica_observer.py
@@ -35,7 +35,7 @@
           choice: the replica and its predicted time to answer.
           prompt_tokens: number of tokens in the prompt.
           limits: records the rate limit that the answer announces.
-          signals: records pauses, refusals and the shutdown of the replica.
+          signals: records pauses and refusals, and that the replica leaves.
           time: the clock.
         """
         view = choice.view
@@ -64,7 +64,7 @@
         self._limits.handle_answer(view, answer, self._sent_ms)
         self._signals.handle_answer(view, answer, self._sent_ms)
 
-    def on_first(self) -> None:
+    def on_first_event(self) -> None:
         """Records the wait for the first event; the prompt was read."""
         self._first_ms = self._clock.now_ms()
         self._view.heard_ms = self._first_ms
--- a/src/marlramp/experiments/overload.py
+++ b/src/marlramp/experiments/overload.py
@@ -263,7 +263,7 @@
 
         def on_first() -> None:
             observer.on_answer(_answer(engine))
-            observer.on_first()
+            observer.on_first_event()
             took_ms = self._time.now_ms() - caller.first_ms
             if took_ms <= OBJECTIVE_MS:
                 self._second(caller).in_time += 1
