--- a/src/marlramp/direct/calls/crash_detector.py
+++ b/src/marlramp/direct/calls/crash_detector.py
@@ -134,7 +134,7 @@
           begun: whether a part of the answer had arrived.
         """
         if view.replica.state is not fleet.ReplicaState.HEALTHY:
-            # A replica that shuts down may exit before its last requests end.
+            # A replica that leaves may exit before its last requests end.
             return
         lost = LostAttempt(
             fingerprint,
--- a/src/marlramp/direct/calls/forwarder.py
+++ b/src/marlramp/direct/calls/forwarder.py
@@ -92,7 +92,7 @@
           table: the replicas.
           codec: reads and writes request headers.
           settings: settings of the entry.
-          crashes: detects crashes, and tells which requests are blocked.
+          crashes: detects crashes, and knows the blocked requests.
           limits: rate limits of replicas.
           totals: counters.
           latencies: histograms.
@@ -173,7 +173,7 @@
         self._crashes.handle_gone(replica_ids)
 
     def record_leaving(self, view: replica_view.ReplicaView) -> None:
-        """Records that a replica shuts down, as reported by its agent."""
+        """Records that a replica leaves, as reported by its agent."""
         self._signals.record_leaving(view, "agent")
 
     # Admission.
--- a/src/marlramp/direct/calls/replica_signals.py
+++ b/src/marlramp/direct/calls/replica_signals.py
@@ -1,4 +1,4 @@
-"""Records pauses, refusals and shutdowns that replicas report in their answers.
+"""Records pauses, refusals and departures that replicas report in answers.
 
 Every answer counts, including one that a retry hides from the caller. A report
 applies only to the entry that received it, and does not survive a restart of
@@ -38,8 +38,7 @@
         """Creates an object without reports.
 
         Args:
-          drain_ms: time for which a replica that shuts down may still be sent
-            requests.
+          drain_ms: time for which a leaving replica may still be sent requests.
           totals: counters.
           time: the clock.
           rng: picks the time at which this entry returns to a replica after a
@@ -54,7 +53,7 @@
         self._unreadable = seen_values.SeenValues()
 
     def set_drain(self, drain_ms: float) -> None:
-        """Sets the drain time for replicas that report a shutdown later."""
+        """Sets the drain time of replicas that leave from now on."""
         self._drain_ms = drain_ms
 
     def handle_answer(
@@ -86,7 +85,7 @@
     def record_leaving(
         self, view: replica_view.ReplicaView, source: str
     ) -> None:
-        """Records that a replica shuts down.
+        """Records that a replica leaves.
 
         Args:
           view: the replica.
--- a/src/marlramp/direct/calls/sender.py
+++ b/src/marlramp/direct/calls/sender.py
@@ -126,7 +126,7 @@
           codec: writes and reads headers.
           is_blocked: returns whether a request must not run again.
           limits: records the rate limits that answers announce.
-          signals: records pauses, refusals and shutdowns of replicas.
+          signals: records pauses, refusals and leaving replicas.
           cutoffs: the cutoffs of versions.
           time: the clock.
         """
--- a/src/marlramp/direct/calls/wire.py
+++ b/src/marlramp/direct/calls/wire.py
@@ -95,7 +95,7 @@
         None if the answer does not say.
       retry_after_unreadable: value of a retry time that can't be parsed, "" if
         there is none.
-      leaving: whether the replica reports that it shuts down.
+      leaving: whether the replica announces that it leaves.
     """
 
     status: int
--- a/tests/direct/calls/test_crashing_requests.py
+++ b/tests/direct/calls/test_crashing_requests.py
@@ -1,4 +1,4 @@
-"""An entry's dealings with requests that crash replicas."""
+"""Tests of how an entry handles requests that crash replicas."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     )
 
 
-def note_crashes(entry: conftest.Entry, path: str, count: int) -> None:
+def add_crashes(entry: conftest.Entry, path: str, count: int) -> None:
     for number in range(count):
         entry.crashes.add_suspect(
             crash_ledger.crash_id(f"x-{number}", 1),
@@ -36,55 +36,55 @@
         await peer.answer(request, 200, b"good", x_replica_signature="s")
 
 
-async def break_off(peer: raw_http.Peer) -> None:
+async def reset(peer: raw_http.Peer) -> None:
     await peer.read()
     peer.reset()
 
 
-def test_condemned_request_is_refused_at_once_as_not_run(
+def test_blocked_request_is_refused_as_not_run(
     run_entry: conftest.RunEntry,
 ) -> None:
     async def use(entry: conftest.Entry) -> None:
-        note_crashes(entry, "/safe/x", 3)
-        told = await entry.call("/safe/x")
-        assert told.startswith(b"HTTP/1.1 503")
-        assert b'"ran":"no"' in told
-        assert b"crashes_upstreams" in told
-        assert b"retry-after" not in told
-        # Another request of the same route is none of it.
+        add_crashes(entry, "/safe/x", 3)
+        response = await entry.call("/safe/x")
+        assert response.startswith(b"HTTP/1.1 503")
+        assert b'"ran":"no"' in response
+        assert b"crashes_upstreams" in response
+        assert b"retry-after" not in response
+        # Another request of the same route is not blocked.
         assert (await entry.call("/safe/y")).startswith(b"HTTP/1.1 200")
 
     run_entry(use, answer)
 
 
-def test_request_is_withdrawn_when_others_find_that_it_crashes_replicas(
+def test_waiting_request_is_withdrawn_when_it_becomes_blocked(
     run_entry: conftest.RunEntry,
 ) -> None:
-    left = asyncio.Event()
+    closed = asyncio.Event()
 
     async def hold(peer: raw_http.Peer) -> None:
         await peer.read()
         assert await peer.read() is None
-        left.set()
+        closed.set()
 
     async def use(entry: conftest.Entry) -> None:
-        note_crashes(entry, "/safe/x", 1)
+        add_crashes(entry, "/safe/x", 1)
         call = asyncio.create_task(entry.call("/safe/x", wait_ms=3_000))
         await asyncio.sleep(0.1)
-        note_crashes(entry, "/safe/x", 3)
+        add_crashes(entry, "/safe/x", 3)
         async with asyncio.timeout(0.5):
-            told = await call
-            await left.wait()
-        assert told.startswith(b"HTTP/1.1 502")
-        assert b'"ran":"unknown"' in told
-        # The replica is not blamed for it.
+            response = await call
+            await closed.wait()
+        assert response.startswith(b"HTTP/1.1 502")
+        assert b'"ran":"unknown"' in response
+        # The withdrawal does not count as a failure of the replica.
         (view,) = list(entry.table)
         assert view.breaker.allows(TIME.now_ms())
 
     run_entry(use, hold)
 
 
-def test_reset_by_a_replica_that_lives_is_no_strike(
+def test_reset_by_a_live_replica_adds_no_strike(
     run_entry: conftest.RunEntry,
 ) -> None:
     async def use(entry: conftest.Entry) -> None:
@@ -95,23 +95,23 @@
         name = counters.CounterName.CRASHES
         assert entry.totals.total(name, "no_crash") == 3
 
-    run_entry(use, break_off)
+    run_entry(use, reset)
 
 
-def test_suspect_is_not_sent_to_a_second_replica(
+def test_suspected_request_is_not_sent_to_a_second_replica(
     run_entry: conftest.RunEntry,
 ) -> None:
     async def use(entry: conftest.Entry) -> None:
-        note_crashes(entry, "/safe/x", 2)
-        told = await entry.call("/safe/x")
-        assert told.startswith(b"HTTP/1.1 502")
+        add_crashes(entry, "/safe/x", 2)
+        response = await entry.call("/safe/x")
+        assert response.startswith(b"HTTP/1.1 502")
         name = counters.CounterName.REFUSALS
         assert entry.totals.total(name, "suspected") == 1
 
-    run_entry(use, break_off, break_off)
+    run_entry(use, reset, reset)
 
 
-def test_failure_that_a_replica_answers_itself_clears_a_request(
+def test_error_answer_of_a_replica_clears_its_request(
     run_entry: conftest.RunEntry,
 ) -> None:
     async def fail(peer: raw_http.Peer) -> None:
@@ -119,7 +119,7 @@
             await peer.answer(request, 500, b"bad", x_replica_signature="s")
 
     async def use(entry: conftest.Entry) -> None:
-        note_crashes(entry, "/once/x", 2)
+        add_crashes(entry, "/once/x", 2)
         await entry.call("/once/x")
         assert entry.crashes.ledger.strikes(fingerprint("/once/x")) == 1.0
 
--- a/tests/direct/calls/test_forwarder.py
+++ b/tests/direct/calls/test_forwarder.py
@@ -19,7 +19,7 @@
 
 
 class Replica:
-    """Scripts of a replica and what it saw."""
+    """Scripted replica that keeps the requests that it received."""
 
     def __init__(self) -> None:
         self.seen: list[raw_http.SeenRequest] = []
@@ -66,7 +66,7 @@
                 b"x-attempt-id: other\r\nx-replica-signature: s\r\n\r\nelse"
             )
 
-    async def full_without_word(self, peer: raw_http.Peer) -> None:
+    async def busy_without_statement(self, peer: raw_http.Peer) -> None:
         while (request := await peer.read()) is not None:
             self.seen.append(request)
             await peer.answer(request, 503)
@@ -92,7 +92,7 @@
             await peer.write(b"0\r\n\r\n")
 
     async def slow_events(self, peer: raw_http.Peer) -> None:
-        """Serves one stream for 1.3 s; others wait 1.1 s for their turn."""
+        """Serves one stream for 1.3 s; later ones start after 1.1 s."""
         request = await peer.read()
         if request is None:
             return
@@ -116,7 +116,7 @@
     async def cut_events(self, peer: raw_http.Peer) -> None:
         await self.events(peer, cut=True)
 
-    async def whole_events(self, peer: raw_http.Peer) -> None:
+    async def complete_events(self, peer: raw_http.Peer) -> None:
         await self.events(peer, cut=False)
 
 
@@ -185,7 +185,7 @@
     run_entry(use, *(replica.reset for replica in replicas))
 
 
-def test_failure_of_a_replica_is_passed_on_unchanged(
+def test_error_answer_of_a_replica_is_forwarded_unchanged(
     run_entry: RunEntry,
 ) -> None:
     replica = Replica()
@@ -199,7 +199,7 @@
     run_entry(use, replica.fail)
 
 
-def test_status_that_promises_not_run_needs_the_replicas_word(
+def test_status_that_implies_not_run_needs_a_statement_by_the_replica(
     run_entry: RunEntry,
 ) -> None:
     replica = Replica()
@@ -207,10 +207,10 @@
     async def use(entry: conftest.Entry) -> None:
         assert status_of(await entry.call("/once/x", "POST")) == 502
 
-    run_entry(use, replica.full_without_word)
+    run_entry(use, replica.busy_without_statement)
 
 
-def test_refusal_says_when_to_come_back(run_entry: RunEntry) -> None:
+def test_refusal_has_a_retry_after_header(run_entry: RunEntry) -> None:
     async def use(entry: conftest.Entry) -> None:
         answer = await entry.call("/once/x", "POST")
         assert status_of(answer) == 503
@@ -220,7 +220,7 @@
 
 
 @pytest.mark.parametrize("script", ["unsigned", "other"])
-def test_answer_that_is_not_the_replicas_is_not_passed_on(
+def test_unsigned_or_misattributed_answer_is_not_forwarded(
     script: str, run_entry: RunEntry
 ) -> None:
     replica = Replica()
@@ -234,7 +234,7 @@
     run_entry(use, getattr(replica, script))
 
 
-def test_replica_stops_when_the_caller_leaves(run_entry: RunEntry) -> None:
+def test_caller_that_leaves_cancels_its_request(run_entry: RunEntry) -> None:
     replica = Replica()
 
     async def use(entry: conftest.Entry) -> None:
@@ -250,7 +250,7 @@
     run_entry(use, replica.hang)
 
 
-def test_hanging_request_ends_at_the_callers_time(
+def test_hanging_request_ends_at_the_callers_deadline(
     run_entry: RunEntry,
 ) -> None:
     replica = Replica()
@@ -265,26 +265,26 @@
     run_entry(use, replica.hang)
 
 
-def test_idempotent_request_leaves_a_hanging_replica(
+def test_idempotent_request_is_retried_when_a_replica_hangs(
     run_entry: RunEntry,
 ) -> None:
-    hanging, sound = Replica(), Replica()
+    hanging, healthy = Replica(), Replica()
 
     async def use(entry: conftest.Entry) -> None:
         for _ in range(3):
             answer = await entry.call("/safe/x", wait_ms=900)
             assert status_of(answer) == 200
 
-    run_entry(use, hanging.hang, sound.serve)
+    run_entry(use, hanging.hang, healthy.serve)
 
 
-def test_stream_goes_on_at_another_replica_without_a_gap(
+def test_cut_stream_continues_at_another_replica_without_a_gap(
     run_entry: RunEntry,
 ) -> None:
-    cut, whole = Replica(), Replica()
+    cut, complete = Replica(), Replica()
 
     async def use(entry: conftest.Entry) -> None:
-        # The first replica of equals is the one with the lower id.
+        # Of equal replicas, the one with the lowest id is selected.
         answer = await entry.call("/stream/x", "POST")
         numbers = [
             int(line[4:])
@@ -293,16 +293,16 @@
         ]
         assert numbers == [1, 2, 3, 4, 5, 6]
         assert answer.endswith(b"0\r\n\r\n")
-        assert whole.seen[0].headers["last-event-id"] == "3"
+        assert complete.seen[0].headers["last-event-id"] == "3"
 
-    run_entry(use, cut.cut_events, whole.whole_events)
+    run_entry(use, cut.cut_events, complete.complete_events)
 
 
 def test_request_in_the_queue_of_a_busy_replica_is_not_sent_again(
     run_entry: RunEntry,
 ) -> None:
     # Load pattern: engines are full. A second send would have the prompt read
-    # twice and take a place from others.
+    # twice and use a slot that other requests need.
     busy, other = Replica(), Replica()
 
     async def use(entry: conftest.Entry) -> None:
@@ -320,11 +320,13 @@
         assert not other.seen
         await first
 
-    run_entry(use, busy.slow_events, other.whole_events)
+    run_entry(use, busy.slow_events, other.complete_events)
 
 
-def test_silent_replica_is_left_soon(run_entry: RunEntry) -> None:
-    silent, sound = Replica(), Replica()
+def test_stream_is_retried_within_1100_ms_if_a_replica_is_silent(
+    run_entry: RunEntry,
+) -> None:
+    silent, healthy = Replica(), Replica()
 
     async def use(entry: conftest.Entry) -> None:
         loop = asyncio.get_running_loop()
@@ -334,24 +336,26 @@
         assert len(silent.seen) == 1
         assert loop.time() - started < 1.1
 
-    run_entry(use, silent.hang, sound.whole_events)
+    run_entry(use, silent.hang, healthy.complete_events)
 
 
-def test_cut_stream_that_may_not_go_on_does_not_look_complete(
+def test_cut_stream_that_may_not_continue_is_aborted(
     run_entry: RunEntry,
 ) -> None:
-    cut, whole = Replica(), Replica()
+    cut, complete = Replica(), Replica()
 
     async def use(entry: conftest.Entry) -> None:
         answer = await entry.call("/whole/x", "POST")
         assert b"id: 3" in answer
         assert not answer.endswith(b"0\r\n\r\n")
-        assert not whole.seen
+        assert not complete.seen
 
-    run_entry(use, cut.cut_events, whole.whole_events)
+    run_entry(use, cut.cut_events, complete.complete_events)
 
 
-def test_entry_without_configuration_says_so(run_entry: RunEntry) -> None:
+def test_entry_without_configuration_refuses_requests(
+    run_entry: RunEntry,
+) -> None:
     async def use(entry: conftest.Entry) -> None:
         entry.routes = None
         assert status_of(await entry.call("/safe/x")) == 503
@@ -359,7 +363,7 @@
     run_entry(use)
 
 
-def test_leaving_entry_refuses_what_it_could_not_finish(
+def test_leaving_entry_refuses_new_requests(
     run_entry: RunEntry,
 ) -> None:
     replica = Replica()
@@ -374,7 +378,7 @@
     run_entry(use, replica.serve)
 
 
-def test_request_that_outlived_its_time_while_suspended_ends_soon(
+def test_request_that_timed_out_during_a_suspension_ends_soon(
     run_entry: conftest.RunEntry,
 ) -> None:
     async def hold(peer: raw_http.Peer) -> None:
@@ -392,7 +396,7 @@
 
 
 @pytest.mark.parametrize("script", ["refuse", "fail"])
-def test_replica_that_refuses_or_fails_at_once_does_not_count_as_quick(
+def test_fast_refusal_or_failure_does_not_count_as_a_fast_answer(
     run_entry: RunEntry, script: str
 ) -> None:
     replica = Replica()
@@ -407,7 +411,7 @@
 
 
 class Pausing:
-    """Asks for a pause once, then serves."""
+    """Replica that requests a pause of 0.5 s once and then serves."""
 
     def __init__(self) -> None:
         self.seen = 0
@@ -423,10 +427,10 @@
             )
 
 
-def test_answer_that_a_repeat_hides_asks_for_a_pause_all_the_same(
+def test_pause_in_an_answer_that_a_retry_hides_is_applied(
     run_entry: RunEntry,
 ) -> None:
-    pausing, sound = Pausing(), Replica()
+    pausing, healthy = Pausing(), Replica()
 
     async def use(entry: conftest.Entry) -> None:
         for _ in range(5):
@@ -437,14 +441,14 @@
         assert view is not None
         assert view.availability.may_send(entry.time.now_ms())
 
-    run_entry(use, pausing.serve, sound.serve)
+    run_entry(use, pausing.serve, healthy.serve)
 
 
-def test_request_that_waited_for_a_connection_heeds_a_pause(
+def test_request_that_waited_for_a_connection_respects_a_pause(
     run_entry: RunEntry, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Ten requests that were connecting reached a replica in its pause."""
-    pausing, sound = Pausing(), Replica()
+    """Ten requests that waited for a connection reached a paused replica."""
+    pausing, healthy = Pausing(), Replica()
     connect = http1_client.connect
 
     async def use(entry: conftest.Entry) -> None:
@@ -464,10 +468,10 @@
         assert status_of(await entry.call("/once/x", "POST")) == 200
         assert pausing.seen == 0
 
-    run_entry(use, pausing.serve, sound.serve)
+    run_entry(use, pausing.serve, healthy.serve)
 
 
-def test_answer_of_another_replica_at_an_address_asks_for_no_pause(
+def test_pause_in_a_misdirected_answer_is_ignored(
     run_entry: RunEntry,
 ) -> None:
     async def misdirected(peer: raw_http.Peer) -> None:
@@ -485,16 +489,16 @@
     run_entry(use, misdirected)
 
 
-def test_caller_refused_beside_an_idle_replica_comes_back_at_once(
+def test_retry_after_is_short_while_an_idle_replica_is_left(
     run_entry: RunEntry,
 ) -> None:
-    """Callers that used up their sends were told to wait for 0.5 s."""
-    refusing, sound = Replica(), Replica()
+    """A request that used up its sends got a retry-after time of 0.5 s."""
+    refusing, healthy = Replica(), Replica()
 
     async def use(entry: conftest.Entry) -> None:
         answer = await entry.call("/once/x", "POST")
         assert status_of(answer) == 503
-        assert not sound.seen
+        assert not healthy.seen
         (line,) = [
             line
             for line in answer.split(b"\r\n")
@@ -503,14 +507,14 @@
         assert 0.0 < float(line.partition(b": ")[2]) <= 0.1
 
     scripts = [refusing.refuse] * forwarder.SENDS_MAX
-    run_entry(use, *scripts, sound.serve)
+    run_entry(use, *scripts, healthy.serve)
 
 
 @pytest.mark.parametrize("path", ["/stream/x", "/safe/x"])
 def test_request_that_may_have_run_waits_for_a_replica_to_open(
     run_entry: RunEntry, path: str
 ) -> None:
-    """It was cut at once while the only other replica had a pause of 0.3 s."""
+    """The answer was cut at once if the only other replica paused for 0.3 s."""
     failing, paused = Replica(), Replica()
 
     async def fail(peer: raw_http.Peer) -> None:
@@ -521,7 +525,7 @@
 
     async def serve(peer: raw_http.Peer) -> None:
         if path.startswith("/stream"):
-            await paused.whole_events(peer)
+            await paused.complete_events(peer)
         else:
             await paused.serve(peer)
 
@@ -537,10 +541,10 @@
     run_entry(use, fail, serve)
 
 
-def test_last_replica_that_turned_away_is_asked_again(
+def test_request_is_sent_to_the_only_replica_despite_its_backoff(
     run_entry: RunEntry,
 ) -> None:
-    """The request was taken back as it was to be written, for a mere guess."""
+    """A backoff, which is an estimate, kept the request from being written."""
     replica = Replica()
 
     async def use(entry: conftest.Entry) -> None:
@@ -554,7 +558,7 @@
     run_entry(use, replica.serve)
 
 
-def test_replica_gets_no_more_time_than_its_callers_slow_body_left(
+def test_replica_gets_no_more_time_than_a_slow_request_body_left(
     run_entry: RunEntry,
 ) -> None:
     replica = Replica()
@@ -578,7 +582,7 @@
     assert int(seen.headers["x-deadline-ms"]) <= 600
 
 
-def test_request_that_waited_for_a_connection_leaves_the_old_version(
+def test_request_that_waited_for_a_connection_avoids_the_old_version(
     run_entry: RunEntry, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     replica = Replica()
@@ -604,11 +608,11 @@
     run_entry(use, replica.serve)
 
 
-def test_request_behind_a_long_way_is_taken_back_sooner(
+def test_request_is_withdrawn_sooner_with_a_high_path_latency(
     run_entry: RunEntry, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The close took longer than its margin, and the request had begun."""
-    way_ms = 150.0
+    """The request began, as its withdrawal took longer than the margin."""
+    latency_ms = 150.0
     left_ms = 800.0
     closed_ms: list[float] = []
     seen_ms: list[float] = []
@@ -616,7 +620,7 @@
     connect = http1_client.connect
 
     async def hang(peer: raw_http.Peer) -> None:
-        # A connection that measures the way carries no request.
+        # A connection that measures the path latency carries no request.
         if await peer.read() is None:
             return
         seen_ms.append(time.now_ms())
@@ -624,35 +628,35 @@
         closed_ms.append(time.now_ms())
 
     async def connect_late(
-        host: str, port: int, own: clock.Clock
+        host: str, port: int, own_clock: clock.Clock
     ) -> http1_client.ReplicaConnection:
-        await asyncio.sleep(way_ms / clock.MILLIS_PER_SECOND)
-        return await connect(host, port, own)
+        await asyncio.sleep(latency_ms / clock.MILLIS_PER_SECOND)
+        return await connect(host, port, own_clock)
 
     async def use(entry: conftest.Entry) -> None:
         monkeypatch.setattr(http1_client, "connect", connect_late)
         (view,) = entry.table
         view.seen_weights = 1
         entry.serve_engines()
-        binds_ms = entry.time.now_ms() + left_ms
+        mandatory_ms = entry.time.now_ms() + left_ms
         bound_ms = conftest.SETTINGS.bounds.version_ms
         entry.name_version(2, age_ms=bound_ms - left_ms)
         assert status_of(await entry.call("/whole/x", "POST")) == 502
         await asyncio.sleep(0.05)
         assert len(seen_ms) == len(closed_ms) == 1
-        assert closed_ms[0] <= binds_ms - way_ms
-        # Not at once: there was time to begin in.
-        assert closed_ms[0] >= seen_ms[0] + way_ms
+        assert closed_ms[0] <= mandatory_ms - latency_ms
+        # The request was not withdrawn at once: it still had time to begin.
+        assert closed_ms[0] >= seen_ms[0] + latency_ms
 
     run_entry(use, hang)
 
 
-def test_request_is_taken_back_sooner_when_the_way_grows(
+def test_request_is_withdrawn_sooner_when_the_path_latency_grows(
     run_entry: RunEntry,
 ) -> None:
     left_ms = 800.0
     grows_at_ms = 290.0
-    way_ms = 200.0
+    latency_ms = 200.0
     closed_ms: list[float] = []
     time = clock.SystemClock()
 
@@ -665,23 +669,23 @@
         (view,) = entry.table
         view.seen_weights = 1
         entry.serve_engines()
-        binds_ms = entry.time.now_ms() + left_ms
+        mandatory_ms = entry.time.now_ms() + left_ms
         bound_ms = conftest.SETTINGS.bounds.version_ms
         entry.name_version(2, age_ms=bound_ms - left_ms)
         answer = asyncio.create_task(entry.call("/whole/x", "POST"))
-        wait_ms = binds_ms - grows_at_ms - entry.time.now_ms()
+        wait_ms = mandatory_ms - grows_at_ms - entry.time.now_ms()
         await asyncio.sleep(wait_ms / clock.MILLIS_PER_SECOND)
         assert closed_ms == []
-        view.record_latency(way_ms, entry.time.now_ms())
+        view.record_latency(latency_ms, entry.time.now_ms())
         assert status_of(await answer) == 502
         await asyncio.sleep(0.05)
         (closed,) = closed_ms
-        assert closed <= binds_ms - way_ms
+        assert closed <= mandatory_ms - latency_ms
 
     run_entry(use, hang)
 
 
-def test_request_whose_connecting_shows_a_long_way_leaves_the_old_version(
+def test_slow_connection_setup_keeps_a_request_from_the_old_version(
     run_entry: RunEntry, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     replica = Replica()
@@ -702,7 +706,7 @@
         view.seen_weights = 1
         entry.serve_engines()
         bound_ms = conftest.SETTINGS.bounds.version_ms
-        # Room for a short way is left, for this one it is not.
+        # The time left suffices for a low path latency, but not for this one.
         left_ms = version_cutoff.QUEUE_MARGIN_MS + 220.0
         entry.name_version(2, age_ms=bound_ms - left_ms)
         assert status_of(await entry.call("/stream/x", "POST")) == 503
@@ -712,11 +716,11 @@
     run_entry(use, replica.serve)
 
 
-def test_request_on_an_open_connection_begins_in_time_when_its_way_filled(
+def test_request_on_an_idle_connection_begins_in_time_after_congestion(
     run_entry: RunEntry, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The way was short when the idle connection was opened, and is 600 ms."""
-    way_ms = 600.0
+    """The path latency grew to 600 ms after the connection was opened."""
+    latency_ms = 600.0
     left_ms = version_cutoff.QUEUE_MARGIN_MS + 150.0
     connect = http1_client.connect
     begun_ms: list[float] = []
@@ -725,7 +729,7 @@
     async def connect_late(
         host: str, port: int, time: clock.Clock
     ) -> http1_client.ReplicaConnection:
-        await asyncio.sleep(way_ms / clock.MILLIS_PER_SECOND)
+        await asyncio.sleep(latency_ms / clock.MILLIS_PER_SECOND)
         return await connect(host, port, time)
 
     async def fill(peer: raw_http.Peer) -> None:
@@ -735,8 +739,8 @@
         await peer.answer(first, 200, b"ok", x_replica_signature="s")
         if await peer.read() is None:
             return
-        # What follows, a close too, comes behind it on the same link.
-        await asyncio.sleep(way_ms / clock.MILLIS_PER_SECOND)
+        # A close passes the same link and arrives after the request.
+        await asyncio.sleep(latency_ms / clock.MILLIS_PER_SECOND)
         begun_ms.append(time.now_ms())
 
     async def use(entry: conftest.Entry) -> None:
@@ -746,22 +750,22 @@
         assert status_of(await entry.call("/whole/x", "POST")) == 200
         await asyncio.sleep(0.1 + path_latency.OWN_FRESH_MS / 1000)
         monkeypatch.setattr(http1_client, "connect", connect_late)
-        binds_ms = entry.time.now_ms() + left_ms
+        mandatory_ms = entry.time.now_ms() + left_ms
         bound_ms = conftest.SETTINGS.bounds.version_ms
         entry.name_version(2, age_ms=bound_ms - left_ms)
         await entry.call("/whole/x", "POST")
-        await asyncio.sleep(way_ms / clock.MILLIS_PER_SECOND)
-        assert all(begun <= binds_ms for begun in begun_ms)
+        await asyncio.sleep(latency_ms / clock.MILLIS_PER_SECOND)
+        assert all(begun <= mandatory_ms for begun in begun_ms)
 
     run_entry(use, fill)
 
 
-def test_request_that_waits_alone_is_taken_back_sooner_when_its_way_fills(
+def test_lone_waiting_request_is_withdrawn_sooner_on_a_congested_link(
     run_entry: RunEntry, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The way was short when it was written, and its close took 208 ms."""
+    """The path latency grew after the send; the close took 208 ms."""
     left_ms = 1_400.0
-    way_ms = 300.0
+    latency_ms = 300.0
     closed_ms: list[float] = []
     connect = http1_client.connect
     time = clock.SystemClock()
@@ -769,7 +773,7 @@
     async def connect_late(
         host: str, port: int, time: clock.Clock
     ) -> http1_client.ReplicaConnection:
-        await asyncio.sleep(way_ms / clock.MILLIS_PER_SECOND)
+        await asyncio.sleep(latency_ms / clock.MILLIS_PER_SECOND)
         return await connect(host, port, time)
 
     async def hang(peer: raw_http.Peer) -> None:
@@ -782,7 +786,7 @@
         (view,) = entry.table
         view.seen_weights = 1
         entry.serve_engines()
-        binds_ms = entry.time.now_ms() + left_ms
+        mandatory_ms = entry.time.now_ms() + left_ms
         bound_ms = conftest.SETTINGS.bounds.version_ms
         entry.name_version(2, age_ms=bound_ms - left_ms)
         answer = asyncio.create_task(entry.call("/whole/x", "POST", 2_400))
@@ -790,12 +794,12 @@
         monkeypatch.setattr(http1_client, "connect", connect_late)
         assert status_of(await answer) == 502
         await asyncio.sleep(0.05)
-        assert closed_ms[0] <= binds_ms - way_ms
+        assert closed_ms[0] <= mandatory_ms - latency_ms
 
     run_entry(use, hang)
 
 
-def test_request_that_waits_leaves_for_a_version_heard_of_meanwhile(
+def test_waiting_request_is_withdrawn_for_a_newly_announced_version(
     run_entry: RunEntry,
 ) -> None:
     replica = Replica()
@@ -809,14 +813,14 @@
         while not replica.seen:
             await asyncio.sleep(0.01)
         entry.name_version(2, age_ms=bound_ms - 500.0)
-        binds_ms = entry.time.now_ms() + 500.0
+        mandatory_ms = entry.time.now_ms() + 500.0
         await waiting
-        assert entry.time.now_ms() < binds_ms
+        assert entry.time.now_ms() < mandatory_ms
 
     run_entry(use, replica.hang)
 
 
-def test_request_that_waits_leaves_for_a_version_of_unknown_age(
+def test_waiting_request_is_withdrawn_for_a_version_of_unknown_age(
     run_entry: RunEntry,
 ) -> None:
     replica = Replica()
@@ -839,10 +843,11 @@
     run_entry(use, replica.hang)
 
 
-def test_request_is_limited_by_the_version_that_it_asks_for(
+def test_cutoff_is_that_of_the_version_that_the_request_names(
     run_entry: RunEntry, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # It was chosen as on the new version, and asked for the old one.
+    # The replica was selected for the new version, but the request named the
+    # old one.
     replica = Replica()
     connect = http1_client.connect
     left_ms = 800.0
@@ -861,10 +866,10 @@
         entry.serve_engines()
         bound_ms = conftest.SETTINGS.bounds.version_ms
         entry.name_version(2, age_ms=bound_ms - left_ms)
-        binds_ms = entry.time.now_ms() + left_ms
+        mandatory_ms = entry.time.now_ms() + left_ms
         await entry.call("/whole/x", "POST", 2_400)
         assert len(replica.seen) == 1
         assert replica.seen[0].headers["x-expect-version"] == "1"
-        assert entry.time.now_ms() < binds_ms
+        assert entry.time.now_ms() < mandatory_ms
 
     run_entry(use, replica.hang)
