--- a/src/marlramp/direct/calls/latency_probes.py
+++ b/src/marlramp/direct/calls/latency_probes.py
@@ -1,4 +1,4 @@
-"""Measures the path latency to replicas whose waiting requests end soon.
+"""Measures the path latency to replicas whose requests are withdrawn soon.
 
 A request that waits for an old version of the weights is withdrawn before a
 newer version becomes mandatory. The withdrawal takes the path latency to the
@@ -18,7 +18,7 @@
 from marlramp.shell import http1_client
 
 LATENCY_AGE_MAX_MS = 250.0
-"""Age of the last measured path latency from which it is measured again."""
+"""Age of the last measured path latency above which it is measured again."""
 
 
 class _Probe(NamedTuple):
--- a/src/marlramp/direct/calls/replica_observer.py
+++ b/src/marlramp/direct/calls/replica_observer.py
@@ -29,7 +29,7 @@
         signals: replica_signals.ReplicaSignals,
         time: clock.Clock,
     ) -> None:
-        """Counts the request as sent to the chosen replica.
+        """Counts the request as sent to the selected replica.
 
         Args:
           choice: the replica and its predicted time to answer.
@@ -141,7 +141,7 @@
     def _back_off(
         self, outcome: attempts.Outcome, now_ms: clock.Millis
     ) -> None:
-        """Backs off from a replica that was unreachable or misdirected to."""
+        """Backs off from a replica that was unreachable or lost its address."""
         if outcome.answer is None:
             self._view.record_unreachable(now_ms)
             return
