--- a/src/marlramp/direct/calls/forwarder.py
+++ b/src/marlramp/direct/calls/forwarder.py
@@ -25,7 +25,7 @@
 from marlramp.direct.calls import attempts
 from marlramp.direct.calls import call as call_module
 from marlramp.direct.calls import crash_detector
-from marlramp.direct.calls import error_answers
+from marlramp.direct.calls import own_answers
 from marlramp.direct.calls import rate_limits
 from marlramp.direct.calls import replica_signals
 from marlramp.direct.calls import selection
@@ -412,13 +412,13 @@
             kind=failure.kind.value,
             detail=failure.detail,
             ran=failure.ran.value,
-            status=error_answers.status_of(failure),
+            status=own_answers.status_of(failure),
             retry_after_ms=failure.retry_after_ms,
         )
         if responder.started:
             responder.abort()
             return
-        error_answers.send(responder, failure, request_id)
+        own_answers.send(responder, failure, request_id)
 
 
 def _rounded(value_ms: float) -> int | None:
