--- a/src/marlramp/direct/entry_daemon.py
+++ b/src/marlramp/direct/entry_daemon.py
@@ -28,7 +28,7 @@
 from marlramp.direct import page_server
 from marlramp.direct import pause_pages
 from marlramp.direct import settings_watch
-from marlramp.direct.calls import crash_watch
+from marlramp.direct.calls import crash_detector
 from marlramp.direct.calls import forwarder
 from marlramp.direct.fleet import entry_fleet
 from marlramp.direct.fleet import store_reader
@@ -126,7 +126,7 @@
             self._table,
             headers.PlatformCallCodec(),
             settings,
-            crash_watch.CrashWatch(
+            crash_detector.CrashDetector(
                 self._crashes,
                 address_probe.probe,
                 self._fleet.tell_crashes,
@@ -338,7 +338,7 @@
 
     def _handle_leaving(self, view: replica_view.ReplicaView) -> None:
         """Handles an agent's report that its replica leaves."""
-        self._forwarder.note_leaving(view)
+        self._forwarder.record_leaving(view)
 
     def _forget(self, replica_ids: list[str]) -> None:
         """Drops the state that is kept of removed replicas."""
--- a/src/marlramp/experiments/overload.py
+++ b/src/marlramp/experiments/overload.py
@@ -26,7 +26,7 @@
 from marlramp.core import replica_view
 from marlramp.core import upstream_choice
 from marlramp.direct.calls import attempts
-from marlramp.direct.calls import named_limits
+from marlramp.direct.calls import rate_limits
 from marlramp.direct.calls import replica_observer
 from marlramp.direct.calls import replica_signals
 from marlramp.direct.calls import wire
@@ -256,14 +256,14 @@
         observer = replica_observer.ReplicaObserver(
             choice,
             caller.prompt_tokens,
-            named_limits.Unlimited(),
+            rate_limits.Unlimited(),
             self._signals,
             self._time,
         )
 
         def on_first() -> None:
             observer.on_answer(_answer(engine))
-            observer.on_first()
+            observer.on_first_event()
             took_ms = self._time.now_ms() - caller.first_ms
             if took_ms <= OBJECTIVE_MS:
                 self._second(caller).in_time += 1
@@ -271,7 +271,7 @@
                 self._second(caller).late += 1
 
         def on_end() -> None:
-            observer.ended(attempts.Outcome(failure=None), caller.events)
+            observer.record_end(attempts.Outcome(failure=None), caller.events)
 
         job = overload_engine.Job(
             place=choice.position,
@@ -285,7 +285,7 @@
         def on_gap() -> None:
             if not job.begun and not job.left:
                 job.left = True
-                observer.left()
+                observer.record_abandoned()
                 self._second(caller).left += 1
 
         self._in(WAY_MS, lambda: self._take(name, job, caller, observer))
@@ -304,7 +304,7 @@
             failure = errors.CallError(
                 errors.ErrorKind.UPSTREAM_BUSY, ran=errors.Ran.NO
             )
-            observer.ended(
+            observer.record_end(
                 attempts.Outcome(failure=failure, answer=_answer(engine)), None
             )
             self._come_back(caller, admission.RETRY_AFTER_MIN_MS)
@@ -380,7 +380,7 @@
 def _answer(engine: overload_engine.Engine) -> wire.ReplicaAnswer:
     return wire.ReplicaAnswer(
         status=200 if engine.open else errors.MISDIRECTED,
-        mine=True,
+        matches_request=True,
         signed=True,
         not_run=not engine.open,
         encoded=False,
--- a/tests/direct/conftest.py
+++ b/tests/direct/conftest.py
@@ -23,9 +23,9 @@
 from marlramp.core import replica_view
 from marlramp.core import route_table
 from marlramp.direct import metrics
-from marlramp.direct.calls import crash_watch
+from marlramp.direct.calls import crash_detector
 from marlramp.direct.calls import forwarder
-from marlramp.direct.calls import named_limits
+from marlramp.direct.calls import rate_limits
 from marlramp.platform import headers
 from marlramp.settings import node
 from marlramp.shell import address_probe
@@ -166,14 +166,14 @@
             self.table,
             headers.PlatformCallCodec(),
             SETTINGS,
-            crash_watch.CrashWatch(
+            crash_detector.CrashDetector(
                 self.crashes,
                 address_probe.probe,
                 lambda: None,
                 self.totals,
                 time,
             ),
-            named_limits.Unlimited(),
+            rate_limits.Unlimited(),
             self.totals,
             metrics.Metrics(self.totals),
             time,
--- a/tests/direct/fleet/limited_fleet.py
+++ b/tests/direct/fleet/limited_fleet.py
@@ -213,7 +213,7 @@
         if not entry.running:
             return
         view.record_ended()
-        entry.limits.note_answer(view, answer(per_s), sent_ms)
+        entry.limits.handle_answer(view, answer(per_s), sent_ms)
         self.served += 1
 
 
@@ -221,7 +221,7 @@
     """Returns a good answer that names a limit, or none."""
     return wire.ReplicaAnswer(
         status=200,
-        mine=True,
+        matches_request=True,
         signed=True,
         not_run=False,
         encoded=False,
