--- a/src/marlramp/core/calls.py
+++ b/src/marlramp/core/calls.py
@@ -1,4 +1,7 @@
-"""State of one caller's request on the grants path over all its attempts."""
+"""State of one caller's request on the grants path over all its attempts.
+
+Each attempt runs under a grant, a single-use permission of an agent.
+"""
 
 from __future__ import annotations
 
@@ -27,7 +30,8 @@
       body: the body.
       stream: whether the answer is a stream of events.
       tokens: tokens that the request may use, for limits and fairness.
-      prefix: digest of the prompt prefix, empty if there is none.
+      prefix: digest of the prompt prefix, by which agents whose upstream
+        probably caches the prefix are recognised; empty if there is none.
     """
 
     call_id: ids.RequestId
@@ -50,7 +54,7 @@
 
     Attributes:
       reason: why it is sent again.
-      delay_ms: time to wait before.
+      delay_ms: time to wait before the request is sent again.
       version: version that the replica must have, empty if any will do.
       resume_from: parts of the answer that the caller already has.
     """
@@ -68,7 +72,7 @@
       spec: the request.
       assembly: the parts of the answer.
       attempts: number of attempts begun.
-      maybe_ran: whether an attempt may have run.
+      maybe_ran: whether an upstream may have run the request.
       failed_vms: VMs at which an attempt failed.
     """
 
@@ -80,7 +84,8 @@
         Args:
           spec: the request.
           retries_max: most retries.
-          backoff_base_ms: bound of the first backoff.
+          backoff_base_ms: half the bound of the first backoff. The bound
+            doubles with each attempt, up to 16 times this value.
         """
         self.spec = spec
         self.assembly = assembly.Assembly()
@@ -114,11 +119,12 @@
         Args:
           failure: why the attempt failed.
           vm_id: VM at which it failed.
-          budget: retry budget; a retry spends one.
+          budget: retry budget, from which a retry consumes one.
           now_ms: the time.
 
         Returns:
-          A retry, or the final error for the caller.
+          A retry, or the final error for the caller. A request that is not
+          a stream is not retried once the caller has a part of its answer.
         """
         self.failed_vms.add(vm_id)
         self.maybe_ran |= failure.ran is not errors.Ran.NO
@@ -139,7 +145,12 @@
         return Retry(reason, delay_ms, self.needed_version, self.resume_from)
 
     def _final(self, failure: errors.CallError) -> errors.CallError:
-        """Returns the failure with whether any attempt of the request ran."""
+        """Returns the failure, with whether an upstream ran the request.
+
+        `Ran.YES` if the caller already has a part of the answer, and
+        `Ran.UNKNOWN` if this attempt did not run but an earlier one may have;
+        otherwise the value of the failure.
+        """
         ran = failure.ran
         if ran is errors.Ran.NO and self.maybe_ran:
             ran = errors.Ran.UNKNOWN
--- a/src/marlramp/core/crash_ledger.py
+++ b/src/marlramp/core/crash_ledger.py
@@ -3,11 +3,12 @@
 Load pattern: a request that crashes each replica that runs it is sent again
 through any entry, while other requests are in flight at these replicas by
 chance. All requests in flight at a replica that crashes are suspects of the
-crash. A request is blocked if it was in flight at several crashes and is the
-likelier cause of them than all other suspects and causes together. A request
+crash. A request is blocked if it was in flight at several crashes and is at
+least as likely their cause as all other suspects and causes together. A request
 that succeeds is cleared of a crash. Updates from other processes merge in any
-order, any number of times, to the same ledger, so that all entries block the
-same requests.
+order, any number of times, to the same suspects of a crash, so that entries
+that hold the same crashes block the same requests. The time at which a crash
+was noticed and the crashes that were dropped can differ between processes.
 """
 
 from __future__ import annotations
@@ -33,14 +34,17 @@
 """Exponent that turns strikes into the likelihood of being the cause."""
 
 OTHER_CAUSE_STRIKES = 2.0
-"""Strikes of all causes other than requests: machines, releases, operators."""
+"""Assumed strikes of all causes other than requests together: machines,
+releases, operators."""
 
 LIKELIHOOD_SHARE_MIN = 0.5
-"""Mean share of the likelihood of its crashes from which a request is blocked:
-it is then the likelier cause than all others together."""
+"""Minimum share of the likelihood, as a mean over its crashes, with which a
+request is blocked. It is then at least as likely a cause as all others
+together."""
 
 CRASHES_MAX = 512
-"""Most crashes that the ledger keeps; the latest ones remain."""
+"""Most crashes that the ledger keeps. The earliest ones are dropped first, and
+those that block a request last."""
 
 CRASH_AGE_MAX_MS = 600_000.0
 """Time after which a crash is dropped unless it blocks a request."""
@@ -49,8 +53,8 @@
 """Number of buckets of the ledger; their digests are compared separately."""
 
 TRANSIT_MAX_MS = 1_000.0
-"""Most by which a crash may seem younger than it is: its age is sent as a
-duration that omits the transit time of each hop."""
+"""Maximum error of the age of a received crash: the age is sent as a duration
+that omits the transit time of each hop, so that it is too low."""
 
 CRASHES_PER_ANSWER_MAX = 32
 """Most crashes in one answer, about 8 kB."""
@@ -64,7 +68,8 @@
 
     Attributes:
       fingerprint: the request's fingerprint.
-      begun: whether the request had returned part of its answer.
+      begun: whether the request had returned part of its answer, which gives it
+        only `PARTIAL_ANSWER_STRIKE`.
       cleared: whether a successful run or an operator cleared the request of
         this crash.
     """
@@ -74,7 +79,11 @@
     cleared: bool = False
 
     def merged(self, other: Suspect) -> Suspect:
-        """Returns the suspect with the knowledge of two processes combined."""
+        """Returns the suspect with the knowledge of two processes combined.
+
+        The request counts as begun only if both processes report so, so that
+        it gets the full strike if they differ.
+        """
         return Suspect(
             self.fingerprint,
             self.begun and other.begun,
@@ -86,7 +95,7 @@
     """A crash of a replica, as processes send it to each other.
 
     Attributes:
-      crash_id: the replica and its start.
+      crash_id: the replica and the start of the run that the crash ended.
       age_ms: time since the crash was first noticed.
       suspects: the requests that were in flight at the replica.
     """
@@ -116,11 +125,11 @@
 
 
 def crash_id(replica_id: str, born_ms: int | None) -> ids.CrashId:
-    """Returns the id of the crash that ends one start of a replica.
+    """Returns the id of the crash that ends one run of a replica.
 
     Args:
       replica_id: the replica.
-      born_ms: Unix time of the start, None if it is unknown.
+      born_ms: Unix time in ms at which the run started, None if unknown.
     """
     return ids.CrashId(f"{replica_id}@{born_ms or 0}")
 
@@ -134,6 +143,8 @@
         self._crashes_of: dict[ids.Fingerprint, set[ids.CrashId]] = {}
         self._digests = bucket_digests.BucketDigests(BUCKETS)
         self._blocked: dict[ids.Fingerprint, Evidence] | None = {}
+        # Latest notice time of the crashes dropped because of `CRASHES_MAX`,
+        # -inf if there is none within `CRASH_AGE_MAX_MS`.
         self._dropped_ms = float("-inf")
 
     # Observations and updates.
@@ -200,12 +211,14 @@
     def merge(self, crash: Crash, now_ms: clock.Millis) -> bool:
         """Merges a crash that another process sent.
 
-        The earliest time at which any process noticed a crash counts. A crash
-        that this ledger may have dropped for want of space is not merged: other
-        processes still hold it and would send it again and again.
+        The earliest time at which any process noticed a crash becomes its
+        notice time. A crash that this ledger may have dropped because of
+        `CRASHES_MAX` is not merged: other processes still hold it and would
+        send it again and again.
 
         Returns:
-          Whether the ledger changed.
+          Whether a suspect changed; an earlier notice time alone does not
+          count.
         """
         dropped_ms = self._dropped_ms + TRANSIT_MAX_MS
         known = crash.crash_id in self._crashes
@@ -235,16 +248,16 @@
         horizon_ms = now_ms - CRASH_AGE_MAX_MS
         if self._dropped_ms < horizon_ms:
             self._dropped_ms = float("-inf")
-        kept = self._blocking_crashes()
+        blocking = self._blocking_crashes()
         for crash, known_crash in list(self._crashes.items()):
-            if known_crash.noticed_ms < horizon_ms and crash not in kept:
+            if known_crash.noticed_ms < horizon_ms and crash not in blocking:
                 self._drop(crash)
         excess = len(self._crashes) - CRASHES_MAX
         if excess > 0:
             # Crashes that block a request are dropped last.
             order = sorted(
                 self._crashes,
-                key=lambda c: (c in kept, self._crashes[c].noticed_ms),
+                key=lambda c: (c in blocking, self._crashes[c].noticed_ms),
             )
             for crash in order[:excess]:
                 noticed_ms = self._crashes[crash].noticed_ms
@@ -264,7 +277,8 @@
     def suspects(self) -> dict[ids.Fingerprint, list[ids.CrashId]]:
         """Returns, by request, the crashes that it is not cleared of."""
         return {
-            name: list(crashes) for name, crashes in self._crashes_of.items()
+            fingerprint: list(crashes)
+            for fingerprint, crashes in self._crashes_of.items()
         }
 
     def strikes(self, fingerprint: ids.Fingerprint) -> float:
@@ -283,7 +297,7 @@
         return self._blocked
 
     def _find_blocked(self) -> dict[ids.Fingerprint, Evidence]:
-        strikes = {name: self.strikes(name) for name in self._crashes_of}
+        strikes = {each: self.strikes(each) for each in self._crashes_of}
         blocked = {}
         for fingerprint, own in strikes.items():
             if own < STRIKES_MIN:
@@ -351,15 +365,17 @@
     def differing(
         self, digests: list[int], rng: random.Random
     ) -> list[ids.CrashId]:
-        """Returns at most one answer's crashes that another ledger may lack.
+        """Returns crashes that another ledger may lack, for one answer.
 
-        If there are more, the answer fills up with the crashes of a few
-        complete buckets, which then no longer differ. A random choice from all
-        buckets would send most crashes many times.
+        If there are more than `CRASHES_PER_ANSWER_MAX`, up to
+        `BLOCKING_PER_ANSWER_MAX` crashes that block a request come first. The
+        others are added bucket by bucket, in random order of the buckets, so
+        that a few complete buckets are sent, which then no longer differ. A
+        random choice from all buckets would send most crashes many times.
 
         Args:
           digests: the digests of the other ledger's buckets.
-          rng: picks the buckets that are sent if there are more.
+          rng: picks the buckets that are sent if not all crashes fit.
         """
         buckets = set(self._digests.differing(digests))
         found = [
@@ -369,11 +385,11 @@
         ]
         if len(found) <= CRASHES_PER_ANSWER_MAX:
             return found
-        kept = self._blocking_crashes()
+        blocking = self._blocking_crashes()
         rng.shuffle(found)
         ranks = {bucket: rng.random() for bucket in buckets}
         found.sort(key=lambda crash: ranks[self._digests.bucket_of(crash)])
-        first = [crash for crash in found if crash in kept]
+        first = [crash for crash in found if crash in blocking]
         first = first[:BLOCKING_PER_ANSWER_MAX]
         rest = [crash for crash in found if crash not in first]
         return [*first, *rest[: CRASHES_PER_ANSWER_MAX - len(first)]]
--- a/src/marlramp/core/event_time.py
+++ b/src/marlramp/core/event_time.py
@@ -1,4 +1,4 @@
-"""Times of events in other processes, as intervals of the own clock.
+"""Times of events in other processes, as intervals of this process's clock.
 
 No two processes share a clock, and no constant bounds the latency of a
 message. What a process knows about a remote event is therefore an interval of
@@ -6,7 +6,9 @@
 request was sent: however long the exchange took, the reading at which the
 request was sent is a lower bound for the time of that state. A deadline that
 must not be missed counts from the early end of the interval; a wait that must
-not be too short counts from the late end.
+not be too short counts from the late end. For a message that was sent without a
+request, a maximum path latency is assumed instead, and the interval is marked
+as assumed.
 """
 
 from __future__ import annotations
@@ -36,7 +38,7 @@
 
 
 class EventTime(msgspec.Struct, frozen=True):
-    """Readings of the own clock between which an event happened.
+    """Readings of this process's clock between which an event happened.
 
     Attributes:
       earliest_ms: the event did not happen before this reading.
@@ -60,12 +62,18 @@
         )
 
     def narrowed(self, other: EventTime) -> EventTime:
-        """Returns the intersection with another interval for this event.
-
-        If the intervals are disjoint, one of them is wrong, and the earlier one
-        is returned. An early end that rests on an assumption is replaced by one
-        that does not. Of two assumed early ends the earlier one is kept,
-        because the path of the later one may have taken longer than assumed.
+        """Returns this interval combined with another one for the event.
+
+        The late end is the earlier of the two late ends, but not before the
+        early end of the result. The early end depends on the assumptions:
+
+        - If neither early end is assumed, the result is the intersection. If
+          the intervals are disjoint, one of them is wrong, and the earlier one
+          is returned.
+        - If one early end is assumed, the other one is used.
+        - If both are assumed, the earlier one is used and stays assumed,
+          because the message that gave the later one may have travelled for
+          longer than assumed.
         """
         latest_ms = min(self.latest_ms, other.latest_ms)
         if self.assumed is not other.assumed:
@@ -85,7 +93,7 @@
 
 
 class Receipt(msgspec.Struct, frozen=True):
-    """Readings of the own clock between which an age was sent and received.
+    """Readings of this process's clock around the transfer of an age.
 
     Attributes:
       sent_after_ms: reading after which the sender computed the age.
@@ -98,7 +106,7 @@
     assumed: bool = False
 
     def dated(self, ages: Ages) -> EventTime:
-        """Returns when an event of the received ages happened."""
+        """Returns the interval in which an event with these ages happened."""
         return EventTime(
             self.sent_after_ms - ages.most_ms,
             self.received_ms - ages.least_ms,
--- a/src/marlramp/core/members.py
+++ b/src/marlramp/core/members.py
@@ -14,7 +14,7 @@
 """Time since an agent last received something from an entry within which the
 agent counts the entry as alive. It is longer than `ALIVE_MS`, since an agent
 receives messages from few entries, rarely from each, and loses nothing by
-reporting to one that is down."""
+sending its reports to an entry that is down."""
 
 
 class MemberKind(enum.Enum):
@@ -28,7 +28,8 @@
     """State of a process, reported by itself or by others that suspect it.
 
     Of two states reported for one incarnation, the one with the higher value
-    counts.
+    counts. A process that others suspect of a failure is SUSPECT; it becomes
+    DOWN if it does not refute this within `roster.SUSPECT_MS`.
     """
 
     STARTING = 1
@@ -46,8 +47,9 @@
       kind: role of the process.
       data_centre: data centre of the VM.
       host: IP address of the process.
-      port: port on which the process accepts links.
-      callers: "host:port" at which an entry accepts callers, "" for an agent.
+      port: port on which the process accepts connections of other processes.
+      callers: address ("host:port") at which an entry accepts the requests of
+        callers, "" for an agent.
     """
 
     vm_id: str
@@ -64,7 +66,8 @@
     Attributes:
       member: the process.
       incarnation: number that only the process itself raises, at each start and
-        whenever it contradicts others. An update with a higher incarnation
+        whenever it refutes a report of another process, for example that it is
+        suspect or down. An update with a higher incarnation
         replaces one with a lower incarnation.
       state: state of the process.
     """
@@ -79,6 +82,10 @@
         return self.member.vm_id
 
     def replaces(self, other: MemberUpdate) -> bool:
-        """Returns whether this is newer than another update on the process."""
+        """Returns whether this takes precedence over another update.
+
+        The update with the higher incarnation does, and of two with equal
+        incarnations the one with the higher state.
+        """
         own = (self.incarnation, self.state.value)
         return own > (other.incarnation, other.state.value)
--- a/src/marlramp/core/origin_requests.py
+++ b/src/marlramp/core/origin_requests.py
@@ -1,10 +1,13 @@
 """Schedules an agent's requests to the origin for the digests of a version.
 
-Load pattern: after a loss of power, or when a version is named, all agents lack
-the digests at once. One answer is enough for all agents, because they send the
-digests to each other. If all agents sent their requests and retries at once,
-they would overload the origin, which then resets connections, including those
-that carry answers.
+The origin is the service that holds the weights; the digests identify the
+pieces of a version, so that an agent can check the pieces that it receives.
+
+Load pattern: after a loss of power, or when a version is announced, all agents
+lack the digests at once. One answer is enough for all agents, because they send
+the digests to each other. If all agents sent their requests and retries at
+once, they would overload the origin, which then resets connections, including
+those that carry answers.
 """
 
 from __future__ import annotations
@@ -15,12 +18,12 @@
 
 UNDELAYED_AGENTS = 2
 """Number of agents that send a request without delay; the second one covers
-for a first one that is gone."""
+for a first one that has failed."""
 
 TAKEOVER_MS = 400.0
 """Delay per further rank before an agent sends a request too. It is long enough
 for an answer to reach the other agents, and short compared with the 8 s within
-which a named version must be in force."""
+which an announced version must take effect."""
 
 RETRY_MIN_MS = 200.0
 """Backoff after the first failure; it doubles with each further failure."""
@@ -28,7 +31,8 @@
 BACKOFF_PER_AGENT_MS = 100.0
 """Maximum backoff per agent of the fleet. All agents together then send the
 origin about ten requests a second, whatever their number, and one of these
-requests arrives soon after the origin recovers."""
+requests arrives soon after the origin recovers. One agent alone sends about
+five, because its backoff is at least `RETRY_MIN_MS`."""
 
 JITTER = 0.5
 """Fraction of a backoff by which it varies in either direction."""
@@ -48,14 +52,18 @@
         """Returns whether to send a request now.
 
         Args:
-          rank: number of agents that precede this one in the order.
+          rank: number of agents that precede this one in the version's
+            rendezvous order.
           now_ms: the current time.
         """
         delay_ms = max(0, rank + 1 - UNDELAYED_AGENTS) * TAKEOVER_MS
         return now_ms >= max(self._since_ms + delay_ms, self._not_before_ms)
 
     def overdue(self, now_ms: clock.Millis) -> bool:
-        """Returns whether the first agents should have sent the digests on."""
+        """Returns whether `TAKEOVER_MS` has passed since the start.
+
+        By then the agents without delay should have sent the digests.
+        """
         return now_ms - self._since_ms >= TAKEOVER_MS
 
     def record_failure(self, agents: int, now_ms: clock.Millis) -> None:
--- a/src/marlramp/core/origin_retry_slots.py
+++ b/src/marlramp/core/origin_retry_slots.py
@@ -1,13 +1,14 @@
 """Assigns retry slots to pieces that the origin did not send.
 
 Load pattern: after an outage of the origin, all entries that lack a piece
-request it at once. Pieces that share the origin's link all arrive late, the
-first one together with the last. Therefore the missing pieces have slots in a
-rotation, and each slot lasts as long as a piece takes on that link. One piece
-is retried at a time, in the order of the pieces; after the first retry that
-succeeds, the next piece is requested when that piece has left the origin. The
-entries need no messages to agree on the slots, because all of them know when
-the version was named.
+request it at once. Parallel transfers split the bandwidth of the origin's link,
+so that all pieces arrive late, the first one together with the last. Therefore
+the missing pieces have slots in a rotation, and each slot lasts as long as a
+piece takes on that link. One piece is retried at a time, in the order of the
+pieces; after the first retry that succeeds, the next piece is requested when
+the retried piece has left the origin. The entries need no messages to agree on
+the slots, because all of them know when the version was announced. They agree
+as far as they know of the same missing pieces and use an equal transfer time.
 """
 
 from __future__ import annotations
@@ -36,7 +37,7 @@
       index: index of the piece.
       missing: indexes of the pieces without a known holder, in ascending order.
       piece_ms: time that a piece takes to leave the origin.
-      named_ms: when the version was named, which is the start of the rotation.
+      named_ms: when the version was announced, the start of the rotation.
       after_ms: earliest time of the slot before the delay by rank is added.
       rank: number of entries that precede this one for the piece.
     """
--- a/src/marlramp/core/queueing.py
+++ b/src/marlramp/core/queueing.py
@@ -21,7 +21,7 @@
 
 
 class WaitingRequest(msgspec.Struct, frozen=True):
-    """A request that waits for a grant.
+    """A request that waits for a grant, an agent's single-use permission.
 
     Attributes:
       request_id: id of the request.
@@ -44,10 +44,15 @@
     """Queue of one service, with start-time fair queueing per customer.
 
     Each customer has a virtual time that grows by the cost of each request
-    served. The customer with the lowest virtual time is served next. A full
-    queue evicts a request of the lowest priority from the customer with the
-    most waiting requests, so a customer that floods the queue displaces only
-    its own requests.
+    served. Among the customers with requests of the highest waiting priority,
+    the one with the lowest virtual time is served next.
+
+    A full queue evicts a request of the lowest priority, counting the new
+    request. Among the customers with requests of that priority, the one with
+    the most waiting requests of all priorities loses its latest one. Within one
+    priority, a customer that floods the queue therefore displaces only its own
+    requests; a flood of higher priority also displaces requests of lower
+    priority of other customers.
     """
 
     def __init__(self, length_max: int) -> None:
@@ -73,9 +78,8 @@
     ) -> list[WaitingRequest]:
         """Estimates which requests would be served before a new request.
 
-        These are all requests of higher priority, the customer's own requests
-        of equal priority, and of each other customer one more than that many
-        requests of equal priority.
+        These are all requests of higher priority and, of equal priority, the
+        customer's own n requests and up to n + 1 of each other customer.
         """
         own = self._lanes.get((priority, customer_id), ())
         found: list[WaitingRequest] = []
--- a/src/marlramp/core/reader_election.py
+++ b/src/marlramp/core/reader_election.py
@@ -1,8 +1,11 @@
 """Elects the entries that watch the store.
 
+The store holds the configuration, the weights targets and the replicas. The
+entries that watch it for changes, the readers, pass the changes on to others.
+
 Load pattern: a store that counts and rate-limits calls and may reject some of
-the entries. If every entry read whenever no other entry could, all would start
-reading at once, stop together, and start again.
+the entries. If every entry watched the store whenever no other entry could, all
+would start at once, stop together, and start again.
 """
 
 from __future__ import annotations
@@ -20,28 +23,32 @@
 crash of one causes no delay."""
 
 BEACON_MS = 400.0
-"""Interval between two beacons of an entry that watches the store."""
+"""Interval between two beacons of a reader, the messages in which it reports to
+other entries that it watches the store."""
 
 STANDBYS = 2
-"""Number of entries after the readers that query them for the store's revision,
-so that they know the age of a change when they take over."""
+"""Number of entries after the readers in the order that query the readers for
+the store's revision, so that these standbys know the age of a change when they
+take over."""
 
 READER_BEACON_AGE_MS = 1_100.0
 READER_STORE_AGE_MS = 2_200.0
 """Maximum age of a reader's last beacon, and of the store's last response to
-the reader, for the reader to count as working. The second is two waits of a
-watch."""
+the reader, for the reader to count as working. The second exceeds two waits
+of a watch, each of at most 1 s (`store_reader.WATCH_WAIT_MS`)."""
 
 FIRST_STANDBYS = 4
 STANDBY_STEP_MS = 100.0
-"""The first four entries read as soon as no reader works, and twice as many
-after each further step: 100 entries within half a second, which leaves one
-second of the shortest deadline for applying changes."""
+"""Ranks below `FIRST_STANDBYS` watch the store without further delay: the
+readers always, and ranks 2 and 3 once no reader has worked for
+`READER_BEACON_AGE_MS`. Each further step doubles the number of entries: 100
+entries within half a second, which leaves one second of the shortest deadline
+for applying changes."""
 
 FIRST_WAIT_MS = 600.0
-"""Time during which an entry that starts leaves reading to the seeds. All
-entries start within 300 ms of each other, and an entry that knows few others
-yet would consider itself one of the first."""
+"""Time during which an entry that starts leaves reading to the seeds. It
+assumes that all entries start within 300 ms of each other. An entry that knows
+few others yet would consider itself one of the first."""
 
 
 class _Beacon(msgspec.Struct, frozen=True):
@@ -101,7 +108,8 @@
         if self._works(vm_id, now_ms):
             self._last_working_ms = now_ms
         elif not any(self._works(other, now_ms) for other in self._beacons):
-            # No reader works, so standbys need not wait until beacons stop.
+            # No known reader works, so standbys need not wait for
+            # `READER_BEACON_AGE_MS` until its beacons count as missing.
             silent_since_ms = now_ms - READER_BEACON_AGE_MS
             self._last_working_ms = min(self._last_working_ms, silent_since_ms)
 
@@ -155,10 +163,11 @@
     def store_serves_none(
         self, others: Collection[str], now_ms: clock.Millis
     ) -> bool:
-        """Returns whether a store that fails this entry seems to fail all.
+        """Returns whether the store has recently responded to no other entry.
 
-        An entry that receives nothing from any other entry cannot distinguish
-        a failure of the store from its own.
+        A store that fails this entry then seems to fail all. The result is
+        False if there is no other entry: an entry without others cannot
+        distinguish a failure of the store from its own.
 
         Args:
           others: VMs of the other entries that are alive.
@@ -203,7 +212,7 @@
 
 
 def _standby_wait_ms(rank: int) -> float:
-    """Returns how much longer an entry waits than the one of rank 0."""
+    """Returns the delay by rank that is added to `READER_BEACON_AGE_MS`."""
     steps = 0
     while rank >= FIRST_STANDBYS << steps:
         steps += 1
--- a/src/marlramp/core/rendezvous.py
+++ b/src/marlramp/core/rendezvous.py
@@ -29,7 +29,7 @@
 
 
 def fraction(key: str) -> float:
-    """Returns a fraction in [0, 1) that is identical in every process."""
+    """Returns a hash of `key` in [0, 1), identical in every process."""
     digest = blake3.blake3(key.encode()).digest(length=_SCORE_BYTES)
     return int.from_bytes(digest) / 256.0**_SCORE_BYTES
 
@@ -46,8 +46,8 @@
 
     Each node is first for at most its equal share of the keys, rounded up,
     since the node with the most work determines when all work is done. Where
-    the plain rendezvous order gives a node more keys, each further key goes to
-    the next node in its order.
+    the plain rendezvous order makes a node first for more keys, each further
+    key has as its first node the next node in its order below that share.
 
     Args:
       keys: keys to divide; every process must pass them in an identical order.
--- a/src/marlramp/core/successful_runs.py
+++ b/src/marlramp/core/successful_runs.py
@@ -1,7 +1,8 @@
 """Recent successful runs, counted by request fingerprint.
 
 A popular request is in flight at many replicas, and so at many crashes that it
-does not cause. Each successful run clears the request of one crash.
+does not cause. Each successful run clears the request of one crash; at most 8
+runs of a request are kept, until 60 s after the latest of them.
 """
 
 from __future__ import annotations
@@ -21,8 +22,8 @@
 """Most runs of one request that are kept."""
 
 AGE_MAX_MS = 60_000.0
-"""Time after a request's latest successful run for which its runs can clear it.
-"""
+"""Time after a request's latest successful run for which its runs can clear it
+of crashes."""
 
 
 class _Runs(msgspec.Struct):
--- a/src/marlramp/core/version_cutoff.py
+++ b/src/marlramp/core/version_cutoff.py
@@ -16,26 +16,28 @@
 from marlramp.core import catalog
 
 QUEUE_MARGIN_MS = 350.0
-"""Wait at a replica that is allowed for a request at the front of its queue.
-The few requests that wait longer are withdrawn before the new version becomes
-mandatory. With a larger margin an old version that may still serve would stand
-idle where the new one is late. With a high path latency the margin grows as
-`WITHDRAWAL_MARGIN_MS` does."""
+"""Time from the cutoff of an old version until the new one becomes mandatory.
+It allows a request at the front of a replica's queue to wait as long. The few
+requests that wait longer are withdrawn before the new version becomes
+mandatory. With a larger margin, replicas to which the new version comes late
+would be idle for longer, although the old one may still serve. For a path
+latency above `path_latency.MARGIN_LATENCY_MS`, `upstream_choice` adds the
+excess to the margin."""
 
 WITHDRAWAL_MARGIN_MS = 60.0
 """Least time between the withdrawal of a waiting request from a replica and the
 time from which it must not begin there. It covers a low path latency
-(`path_latency.MARGIN_LATENCY_MS`) and one engine step, and grows by the path
-latency beyond that value."""
+(`path_latency.MARGIN_LATENCY_MS`) and one engine step. For a higher path
+latency, `upstream_choice.Choice.withdrawal_ms` adds the excess."""
 
 FIRST_READ_GRACE_MS = 2_000.0
 """Time after its start for which a process still serves the previous version if
-it finds a newer one at its first read, since it does not know when that version
-was announced."""
+it finds a newer one when it first reads the announced versions, since it does
+not know when that version was announced."""
 
 
 class VersionCutoff(msgspec.Struct, frozen=True):
-    """The time from which versions older than one are sent no requests.
+    """The time from which versions older than `version` are sent no requests.
 
     Attributes:
       version: the newer version.
@@ -53,8 +55,8 @@
 ) -> list[VersionCutoff]:
     """Returns the cutoffs that are still to come.
 
-    `oldest_allowed` covers past cutoffs, and versions of unknown age, whose
-    cutoff doesn't depend on the path latency to a replica.
+    `oldest_allowed` covers past cutoffs and versions whose announcement time is
+    unknown; their cutoff doesn't depend on the path latency to a replica.
 
     Args:
       target: the announced versions.
@@ -74,7 +76,7 @@
 
 
 def cutoff_ms(coming: Sequence[VersionCutoff], version: int) -> float:
-    """Returns the cutoff of a version with a low path latency.
+    """Returns the cutoff of a version at replicas with a low path latency.
 
     Args:
       coming: the cutoffs that are still to come.
@@ -96,6 +98,9 @@
 ) -> int:
     """Returns the oldest version that a request sent now may begin on.
 
+    The result is 1, which allows every version, while no announced version
+    becomes mandatory within `wait_ms`.
+
     Args:
       target: the announced versions.
       bound_ms: time from the announcement of a version until it becomes
@@ -122,9 +127,10 @@
     version: int,
     started_ms: float = float("-inf"),
 ) -> float:
-    """Returns the time until which a request may begin on a version.
+    """Returns the time at which a request that has not begun is withdrawn.
 
-    A request that still waits at a replica at that time is withdrawn and sent
+    It is `WITHDRAWAL_MARGIN_MS` before a newer version becomes mandatory. A
+    request that still waits at a replica at that time is withdrawn and sent
     elsewhere, however long its expected wait was. With a high path latency it
     is withdrawn earlier, see `upstream_choice.Choice.withdrawal_ms`.
 
@@ -142,8 +148,8 @@
 ) -> float:
     """Returns the time until which a version may be sent a request.
 
-    The time holds for replicas with a low path latency. See `superseded_ms` for
-    the arguments.
+    It is `QUEUE_MARGIN_MS` before a newer version becomes mandatory, and holds
+    for replicas with a low path latency. See `superseded_ms` for the arguments.
     """
     mandatory_ms = superseded_ms(target, bound_ms, version, started_ms)
     return mandatory_ms - QUEUE_MARGIN_MS
@@ -162,7 +168,8 @@
       bound_ms: time from the announcement of a version until it becomes
         mandatory.
       version: the version.
-      started_ms: when this process started.
+      started_ms: when this process started. By default, a newer version whose
+        announcement time is unknown is mandatory at once.
 
     Returns:
       A clock reading, infinite if no newer version was announced.
