--- a/src/marlramp/core/calls.py
+++ b/src/marlramp/core/calls.py
@@ -119,7 +119,7 @@
         Args:
           failure: why the attempt failed.
           vm_id: VM at which it failed.
-          budget: retry budget, from which a retry consumes one.
+          budget: retry budget, which a retry reduces by one.
           now_ms: the time.
 
         Returns:
@@ -128,6 +128,7 @@
         """
         self.failed_vms.add(vm_id)
         self.maybe_ran |= failure.ran is not errors.Ran.NO
+        # Delivered parts are kept, so that a retry resumes after them.
         self.assembly.restart()
         final = self._final(failure)
         reason = retries.retry_reason(failure, idempotent=self.spec.idempotent)
--- a/src/marlramp/core/members.py
+++ b/src/marlramp/core/members.py
@@ -28,8 +28,9 @@
     """State of a process, reported by itself or by others that suspect it.
 
     Of two states reported for one incarnation, the one with the higher value
-    counts. A process that others suspect of a failure is SUSPECT; it becomes
-    DOWN if it does not refute this within `roster.SUSPECT_MS`.
+    counts. A process that did not respond to another one is SUSPECT. Each
+    process marks it as DOWN if it does not refute this within
+    `roster.SUSPECT_MS`, and ignores updates by which others report it as DOWN.
     """
 
     STARTING = 1
@@ -66,9 +67,9 @@
     Attributes:
       member: the process.
       incarnation: number that only the process itself raises, at each start and
-        whenever it refutes a report of another process, for example that it is
-        suspect or down. An update with a higher incarnation
-        replaces one with a lower incarnation.
+        whenever it refutes an update of another process, for example that it is
+        suspect. An update with a higher incarnation replaces one with a lower
+        incarnation.
       state: state of the process.
     """
 
--- a/src/marlramp/core/rendezvous.py
+++ b/src/marlramp/core/rendezvous.py
@@ -46,8 +46,8 @@
 
     Each node is first for at most its equal share of the keys, rounded up,
     since the node with the most work determines when all work is done. Where
-    the plain rendezvous order makes a node first for more keys, each further
-    key has as its first node the next node in its order below that share.
+    the plain rendezvous order makes a node first for more keys, the first
+    node of each further key is the next one in its order below that share.
 
     Args:
       keys: keys to divide; every process must pass them in an identical order.
