--- a/src/marlramp/direct/weights/__init__.py
+++ b/src/marlramp/direct/weights/__init__.py
@@ -1,1 +1,1 @@
-"""Weights on their way: digests, pieces, loads."""
+"""Distribution of weights: digests, transfer of pieces, engine loads."""
--- a/src/marlramp/direct/weights/piece_ticks.py
+++ b/src/marlramp/direct/weights/check_loop.py
@@ -1,4 +1,4 @@
-"""Looks at pieces whenever something came, and regularly."""
+"""Runs a check at regular intervals, and at once after a wake-up."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 async def run(
     wake: asyncio.Event,
     wait_ms: Callable[[], float],
-    look: Callable[[], None],
+    check: Callable[[], None],
     name: str,
     totals: counters.Counters,
 ) -> None:
-    """Looks for ever; one look that fails does not end the others.
+    """Runs the check until cancelled; a check that fails does not end the loop.
 
     Args:
-      wake: set when something came, which ends the wait at once.
-      wait_ms: gives the time to the next look.
-      look: looks.
-      name: counted and logged with each failure.
-      totals: counters.
+      wake: event that ends the wait at once.
+      wait_ms: function that returns the time to the next check.
+      check: the check to run.
+      name: name of the check, with which failures are counted and logged.
+      totals: counters that failures are added to.
     """
     while True:
         try:
@@ -33,4 +33,4 @@
         except TimeoutError:
             pass
         wake.clear()
-        safely.run_safely(look, name, totals)
+        safely.run_safely(check, name, totals)
--- a/src/marlramp/direct/weights/piece_draws.py
+++ b/src/marlramp/direct/weights/origin_fetches.py
@@ -1,4 +1,4 @@
-"""Draws pieces from the origin."""
+"""Fetches pieces from the origin."""
 
 from __future__ import annotations
 
@@ -14,38 +14,46 @@
 
 UNREACHED_RETRY_MIN_MS = 60.0
 UNREACHED_RETRY_MAX_MS = 120.0
-"""Pause after a draw that found no origin, drawn between the two: those that
-go first look for it, one draw at a time each, and all engines wait for it."""
+"""Bounds of the random delay before a retry when the origin was unreachable.
+The first agents in the order probe for the origin with one fetch at a time
+each, and all engines wait until it is found."""
 
-OnDrawn: TypeAlias = Callable[[version_digests.Wanted, int, bytes], None]
+OnFetched: TypeAlias = Callable[[version_digests.Wanted, int, bytes], None]
 OnFailed: TypeAlias = Callable[[version_digests.Wanted, int, float], None]
-"""Takes the version, the index and when to try again, in ms."""
+"""Receives the version, the index of the piece and the delay before a retry in
+ms."""
 
 
-class PieceDraws:
-    """Draws under way.
+class OriginFetches:
+    """Fetches from the origin that are in progress.
 
     Attributes:
-      origin: the origin, None until it is known.
+      origin: the origin, None while it is unknown; fetches then fail.
     """
 
     def __init__(
-        self, on_drawn: OnDrawn, on_failed: OnFailed, time: clock.Clock
+        self, on_fetched: OnFetched, on_failed: OnFailed, time: clock.Clock
     ) -> None:
-        """Reports each draw by one of the two calls."""
-        self._on_drawn = on_drawn
+        """Starts without an origin.
+
+        Args:
+          on_fetched: called with each piece that was fetched, not verified.
+          on_failed: called after each fetch that failed.
+          time: the clock.
+        """
+        self._on_fetched = on_fetched
         self._on_failed = on_failed
         self._clock = time
         self._tasks: set[asyncio.Task[None]] = set()
         self.origin: version_digests.Origin | None = None
 
     def start(self, wanted: version_digests.Wanted, index: int) -> None:
-        """Starts to draw a piece."""
-        task = asyncio.create_task(self._draw(wanted, index))
+        """Starts to fetch a piece."""
+        task = asyncio.create_task(self._fetch(wanted, index))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _draw(self, wanted: version_digests.Wanted, index: int) -> None:
+    async def _fetch(self, wanted: version_digests.Wanted, index: int) -> None:
         started_ms = self._clock.now_ms()
         try:
             if self.origin is None:
@@ -57,11 +65,11 @@
             return
         taken_ms = self._clock.now_ms() - started_ms
         logs.log("piece_drawn", index=index, taken_ms=round(taken_ms))
-        self._on_drawn(wanted, index, data)
+        self._on_fetched(wanted, index, data)
 
 
 def _pause_ms(error: clients.PlatformError) -> float:
-    """Returns when to draw again after an error."""
+    """Returns the delay before a retry after an error, in ms."""
     if isinstance(error, clients.UnreachedError):
         return random.uniform(UNREACHED_RETRY_MIN_MS, UNREACHED_RETRY_MAX_MS)
     return error.retry_after_ms
--- a/src/marlramp/direct/weights/piece_downloads.py
+++ b/src/marlramp/direct/weights/piece_downloads.py
@@ -1,4 +1,4 @@
-"""Pieces on their way from other agents, asked for fragment by fragment."""
+"""Downloads pieces from other processes, one fragment at a time."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 
 class Version(msgspec.Struct, frozen=True):
-    """The version that is fetched.
+    """The version whose pieces are downloaded.
 
     Attributes:
-      name: name of its manifest.
-      piece_bytes: gives the size of the piece at an index.
+      name: name of the manifest, as in `ModelVersion.name`.
+      piece_bytes: function that returns the size of the piece at an index.
     """
 
     name: str
@@ -28,11 +28,11 @@
 
 
 class _Download(msgspec.Struct):
-    """A piece on its way.
+    """A piece that is being downloaded.
 
     Attributes:
-      peer: who sends it.
-      data: what has come.
+      peer: name of the process that sends it.
+      data: the bytes received so far.
     """
 
     peer: str
@@ -40,7 +40,7 @@
 
 
 class PieceDownloads:
-    """Asks for fragments at the paced rate and joins them to pieces."""
+    """Requests fragments at a limited rate and joins them to pieces."""
 
     def __init__(
         self,
@@ -48,35 +48,46 @@
         bytes_per_s: float,
         time: clock.Clock,
     ) -> None:
-        """Asks through `send`, for no more than `bytes_per_s`."""
+        """Starts without a version.
+
+        Args:
+          send: sends a message to a process; returns whether a link took it.
+          bytes_per_s: maximum rate at which fragments are requested.
+          time: the clock.
+        """
         self._send = send
         self._pacer = pacing.Pacer(bytes_per_s)
         self._clock = time
         self._version: Version | None = None
         self._downloads: dict[int, _Download] = {}
 
-    def fetch(self, version: Version) -> None:
-        """Turns to a version; pieces of another are dropped."""
+    def set_version(self, version: Version) -> None:
+        """Sets the version to download and drops all downloads in progress."""
         self._version = version
         self._downloads.clear()
 
     def start(self, index: int, peer: str) -> None:
-        """Starts to fetch a piece from an agent."""
+        """Starts to download a piece from a process."""
         self._downloads[index] = _Download(peer, bytearray())
         self._request_fragment(index)
 
     def cancel(self, index: int) -> None:
-        """Stops fetching a piece."""
+        """Cancels the download of a piece."""
         self._downloads.pop(index, None)
 
     def drop_peer(self, peer: str) -> None:
-        """Stops fetching from an agent."""
+        """Cancels all downloads from a process."""
         for index, download in list(self._downloads.items()):
             if download.peer == peer:
                 del self._downloads[index]
 
-    def awaits(self, name: str, reply: fleet_messages.FragmentReply) -> bool:
-        """Returns whether a fragment belongs to a piece under way."""
+    def expects(self, name: str, reply: fleet_messages.FragmentReply) -> bool:
+        """Returns whether a fragment belongs to a download in progress.
+
+        Args:
+          name: process that sent the fragment.
+          reply: the fragment.
+        """
         download = self._downloads.get(reply.index)
         return (
             download is not None
@@ -85,8 +96,13 @@
             and self._version.name == reply.manifest
         )
 
-    def take(self, reply: fleet_messages.FragmentReply) -> bytes | None:
-        """Takes a fragment that is awaited; returns the piece it completes."""
+    def add_fragment(self, reply: fleet_messages.FragmentReply) -> bytes | None:
+        """Adds an expected fragment and requests the next one.
+
+        Returns:
+          The piece if the fragment completes it, else None. A fragment at
+          another offset than the next one is ignored.
+        """
         download = self._downloads[reply.index]
         if reply.data is None or reply.offset != len(download.data):
             return None
@@ -101,7 +117,7 @@
         return 0 if self._version is None else self._version.piece_bytes(index)
 
     def _request_fragment(self, index: int) -> None:
-        """Asks for the next fragment when the link has room for it."""
+        """Requests the next fragment once the rate limit permits it."""
         wait_ms = self._pacer.reserve(
             piece_uploads.FRAGMENT_BYTES, self._clock.now_ms()
         )
--- a/src/marlramp/direct/weights/piece_exchange.py
+++ b/src/marlramp/direct/weights/piece_exchange.py
@@ -1,8 +1,8 @@
-"""Fetches and shares the pieces of weights between agents.
+"""Fetches the pieces of weights and shares them between agents.
 
-`core.swarm` decides which piece comes from where. Here pieces travel in
-fragments, each asked for by the receiver: a whole piece at once would hold
-the link of a VM for 70 ms, in the way of the events of live requests.
+`core.swarm` decides from where each piece is fetched. Pieces are transferred in
+fragments, each of which the receiver requests: a complete piece at once would
+occupy the link of a VM for 70 ms and delay the events of live requests.
 """
 
 from __future__ import annotations
@@ -23,53 +23,62 @@
 from marlramp.core import members
 from marlramp.core import neighbours
 from marlramp.core import swarm
+from marlramp.direct.weights import check_loop
+from marlramp.direct.weights import origin_fetches
 from marlramp.direct.weights import piece_downloads
-from marlramp.direct.weights import piece_draws
 from marlramp.direct.weights import piece_policy
-from marlramp.direct.weights import piece_ticks
 from marlramp.direct.weights import piece_uploads
 from marlramp.direct.weights import relay_contacts
-from marlramp.direct.weights import standstill
+from marlramp.direct.weights import stall_monitor
 from marlramp.direct.weights import version_digests
 from marlramp.protocol import codec
 from marlramp.protocol import fleet_messages
 from marlramp.protocol import messages
 
 LINK_SHARE = 0.92
-"""Part of the link that pieces may take beside live requests, which need about
-3 in 100, and headers, which need as much: a link that is asked for more than it
-carries holds each request up by all that waits there."""
+"""Fraction of the incoming link that pieces may use. Live requests need about
+3 % and headers as much; on an overloaded link each request is delayed by
+everything that queues there."""
 
 UPLINK_SHARE = 0.88
-"""Part of the link on which events of live streams leave: the links of the
-receivers bind, so that this delays no piece."""
+"""Fraction of the outgoing link that pieces may use; events of live streams
+leave on this link too. The links of the receivers are the bottleneck, so that
+this limit delays no piece."""
 
 TICK_MS = 25.0
-"""Between two looks at what to fetch, announce or withdraw while pieces are
-missing here or at a neighbour."""
+"""Interval between checks for pieces to fetch, announce or cancel while pieces
+are missing here or at a neighbour."""
 
-SETTLED_TICK_MS = 250.0
-"""The same while none is: a message ends the wait at once. Looks each 25 ms
-cost an agent with nothing to do a sixth of its processor time."""
+IDLE_TICK_MS = 250.0
+"""Interval between checks while no piece is missing; a message ends the wait at
+once. Checks every 25 ms cost an idle agent a sixth of its processor time."""
 
 ANNOUNCE_MS = 70.0
-"""Pieces newly held are announced together at most this often."""
+"""Minimum time between announcements of new pieces, which are announced
+together."""
 
 KEEPALIVE_MS = 500.0
+"""Time without an announcement after which an empty one is sent."""
+
 PEER_TIMEOUT_MS = 2_000.0
+"""Time without a message after which a neighbour is removed from the swarm."""
+
 NEIGHBOURS_FIRST_MS = 800.0
-"""How long an agent that starts asks only its neighbours for a version that
-was named before: they hold it, unless all are new."""
+"""Time for which a starting agent fetches a version that was named earlier only
+from its neighbours: they hold it, unless all agents are new."""
 
 NEIGHBOURS = 16
-"""Agents that one is linked to, counting links opened from either side."""
+"""Agents that each agent is linked to, including links that the other side
+opened."""
+
+CHUNK_SETS_KEPT = 2
+"""Versions whose pieces are kept."""
 
-WHOLES_KEPT = 2
 _MS = clock.MILLIS_PER_SECOND
 
 
 class PeerLinks(relay_contacts.Links, Protocol):
-    """What carries messages to other agents."""
+    """Links that carry messages to other agents."""
 
     def open(self, name: str, host: str, port: int) -> bool:
         """Opens a link under a name; returns False if it is open already."""
@@ -81,7 +90,7 @@
 
 
 class PieceExchange:
-    """This VM's part in distributing weights."""
+    """Exchanges pieces of weights with other agents, relays and the origin."""
 
     def __init__(
         self,
@@ -91,14 +100,14 @@
         time: clock.Clock,
         rng: random.Random | None = None,
     ) -> None:
-        """Holds nothing; fetches once told what is wanted.
+        """Starts without pieces; fetches after `want` was called.
 
         Args:
           own: this agent.
-          link_bytes_per_s: rate of the VM's link, each way.
+          link_bytes_per_s: rate of the VM's link in each direction.
           totals: counters.
           time: the clock.
-          rng: breaks ties; a seeded one makes runs repeat.
+          rng: random numbers that break ties; seeded ones make runs repeatable.
         """
         self._own = own
         self._totals = totals
@@ -118,72 +127,81 @@
             self._rng,
             lambda: self._relays.names,
         )
-        self._wholes = self._digests.wholes
+        self._chunk_sets = self._digests.chunk_sets
         self._wanted: version_digests.Wanted | None = None
-        self._linked_for: version_digests.Wanted | None = None
+        self._linked_version: version_digests.Wanted | None = None
         self._swarm: swarm.Swarm | None = None
         self._peers: dict[str, members.Member] = {}
-        self._near: set[str] = set()
-        self._heard_ms: dict[str, float] = {}
+        self._region_peers: set[str] = set()
+        self._last_message_ms: dict[str, float] = {}
         self._downloads = piece_downloads.PieceDownloads(
             self._send, link_bytes_per_s * LINK_SHARE, time
         )
         self._uploads = piece_uploads.PieceUploads(
-            self._wholes, self._send, up_rate, time
+            self._chunk_sets, self._send, up_rate, time
         )
         self._wake = asyncio.Event()
         self.changed = asyncio.Event()
-        self._draws = piece_draws.PieceDraws(
-            self._on_drawn, self._on_not_drawn, time
+        self._origin_fetches = origin_fetches.OriginFetches(
+            self._on_fetched, self._on_fetch_failed, time
         )
-        self._standstill = standstill.Standstill(time)
+        self._stall_monitor = stall_monitor.StallMonitor(time)
         self._announced_ms = 0.0
 
     def attach(self, links: PeerLinks) -> None:
-        """Takes the links to other agents."""
+        """Sets the links to other agents."""
         self._links = links
 
     def attach_relays(self, links: relay_contacts.Links) -> None:
-        """Takes the links to entries, which relay pieces."""
+        """Sets the links to the entries that relay pieces."""
         self._relays.attach(links)
 
     def set_relays(self, names: Iterable[str]) -> None:
-        """Takes the entries near that relay pieces."""
+        """Sets the nearby entries that relay pieces."""
         self._relays.set_names(names)
         self._wake.set()
 
     def set_origin(self, origin: version_digests.Origin | None) -> None:
-        """Takes the origin to draw from."""
+        """Sets the origin to fetch from, None while it is unknown."""
         self._digests.origin = origin
-        self._draws.origin = origin
+        self._origin_fetches.origin = origin
 
     def set_peers(
         self, peers: dict[str, members.Member], near: set[str]
     ) -> None:
-        """Takes the other agents and which are in the own region."""
-        if peers == self._peers and near == self._near:
+        """Sets the other agents.
+
+        Args:
+          peers: the other agents, by name.
+          near: names of those in this region.
+        """
+        if peers == self._peers and near == self._region_peers:
             return
         self._peers = peers
-        self._near = near
+        self._region_peers = near
         self._link_peers()
-        self._place_in_swarm()
+        self._update_swarm_members()
 
     def whole(self, wanted: version_digests.Wanted) -> manifest.ChunkSet | None:
-        """Returns the pieces held of a version, None if it is unknown."""
-        return self._wholes.get(wanted.name)
+        """Returns the pieces held of a version.
+
+        Returns:
+          None if the digests of the version are unknown.
+        """
+        return self._chunk_sets.get(wanted.name)
 
     def arrives_in_ms(self, wanted: version_digests.Wanted) -> float | None:
-        """Returns when a version will be whole here at the earliest.
+        """Returns the least time until all pieces of a version are held.
 
         Returns:
-          None while that is not known, since no piece arrives.
+          The time in ms, None if the digests are unknown or no piece arrives.
         """
-        whole = self._wholes.get(wanted.name)
+        whole = self._chunk_sets.get(wanted.name)
         if whole is None:
             return None
         if whole.complete:
             return 0.0
-        current = self._current(wanted.name)
+        current = self._swarm_of(wanted.name)
         if current is None or current.is_stalled(self._clock.now_ms()):
             return None
         left_bytes = whole.manifest.chunk_bytes * len(current.missing())
@@ -192,11 +210,15 @@
     def add(
         self, wanted: version_digests.Wanted, index: int, data: bytes
     ) -> bool:
-        """Takes a piece that was found on this VM; returns if it is right."""
-        whole = self._wholes.get(wanted.name)
+        """Adds a piece that was found on this VM.
+
+        Returns:
+          Whether the digest of the piece matches.
+        """
+        whole = self._chunk_sets.get(wanted.name)
         if whole is None or not whole.add(index, data):
             return False
-        current = self._current(wanted.name)
+        current = self._swarm_of(wanted.name)
         if current is not None:
             now_ms = self._clock.now_ms()
             current.record_chunk(index, None, valid=True, now_ms=now_ms)
@@ -206,10 +228,13 @@
     async def find_manifest(
         self, wanted: version_digests.Wanted
     ) -> manifest.ChunkSet:
-        """Learns the digests of a version from the origin or neighbours."""
-        # Links first: without them nobody hears the digests but from the
-        # origin, which all of a fleet may ask at once.
-        self._linked_for = wanted
+        """Returns the pieces of a version once its digests are known.
+
+        The digests come from the origin or from other agents.
+        """
+        # The links are opened first: without them all agents of a fleet could
+        # learn the digests only from the origin, and request them at once.
+        self._linked_version = wanted
         self._link_peers()
         return await self._digests.find(wanted)
 
@@ -218,16 +243,16 @@
 
         Args:
           wanted: the version.
-          is_new: whether it was named just now, so that no agent has it.
+          is_new: whether it was named just now, so that no agent holds it.
         """
         if wanted == self._wanted:
             return
-        whole = self._wholes[wanted.name]
-        self._wholes.move_to_end(wanted.name)
-        while len(self._wholes) > WHOLES_KEPT:
-            self._wholes.popitem(last=False)
+        whole = self._chunk_sets[wanted.name]
+        self._chunk_sets.move_to_end(wanted.name)
+        while len(self._chunk_sets) > CHUNK_SETS_KEPT:
+            self._chunk_sets.popitem(last=False)
         self._wanted = wanted
-        self._downloads.fetch(
+        self._downloads.set_version(
             piece_downloads.Version(wanted.name, whole.manifest.chunk_size)
         )
         self._swarm = swarm.Swarm(
@@ -239,37 +264,37 @@
             self._rng,
             0.0 if is_new else NEIGHBOURS_FIRST_MS,
         )
-        self._place_in_swarm()
-        self._linked_for = wanted
+        self._update_swarm_members()
+        self._linked_version = wanted
         self._link_peers()
         for name in self._peers:
             self._send_hello(name, reply=True)
-        self._relays.look()
+        self._relays.restart()
         self._wake.set()
 
     async def run(self) -> None:
-        """Serves neighbours and drives fetches for ever."""
+        """Serves neighbours and fetches pieces until cancelled."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self._uploads.run())
-            group.create_task(self._tick_all())
+            group.create_task(self._run_checks())
 
     def on_message(
         self, name: str, message: fleet_messages.FromAgentPeer
     ) -> None:
-        """Takes a message of another agent."""
-        self._heard_ms[name] = self._clock.now_ms()
-        self._relays.heard(name)
+        """Handles a message of another agent or of a relay."""
+        self._last_message_ms[name] = self._clock.now_ms()
+        self._relays.record_message(name)
         match message:
             case messages.PeerHello():
                 self._on_hello(name, message)
             case messages.PeerHave():
-                current = self._current(message.manifest)
+                current = self._swarm_of(message.manifest)
                 if current is not None:
                     peer = ids.VmId(name)
                     current.record_holdings(peer, message.indexes, message.seen)
                     self._wake.set()
             case fleet_messages.FragmentRequest():
-                self._uploads.request(name, message)
+                self._uploads.handle_request(name, message)
             case fleet_messages.FragmentReply():
                 self._on_fragment(name, message)
             case messages.ManifestRequest():
@@ -280,7 +305,7 @@
     # Neighbours.
 
     def _link_peers(self) -> None:
-        wanted = self._linked_for
+        wanted = self._linked_version
         if self._links is None or wanted is None:
             return
         data_centres = {
@@ -295,17 +320,19 @@
         for name in chosen:
             peer = self._peers[name]
             if self._links.open(name, peer.host, peer.port):
-                self._heard_ms[name] = self._clock.now_ms()
+                self._last_message_ms[name] = self._clock.now_ms()
                 self._send_hello(name, reply=True)
 
-    def _place_in_swarm(self) -> None:
+    def _update_swarm_members(self) -> None:
         if self._swarm is None:
             return
         self._swarm.set_members([ids.VmId(name) for name in self._peers])
-        self._swarm.set_region_members([ids.VmId(name) for name in self._near])
+        self._swarm.set_region_members(
+            [ids.VmId(name) for name in self._region_peers]
+        )
 
     def _on_hello(self, name: str, hello: messages.PeerHello) -> None:
-        current = self._current(hello.manifest)
+        current = self._swarm_of(hello.manifest)
         if current is not None:
             peer = ids.VmId(name)
             current.clear_holdings(peer)
@@ -319,14 +346,20 @@
             self._send_hello(name, reply=False, about=hello.manifest)
 
     def _send_hello(self, name: str, *, reply: bool, about: str = "") -> None:
-        """Tells what is held, of the version asked about if it is known."""
+        """Sends the pieces held and seen of a version if its digests are known.
+
+        Args:
+          name: the receiver.
+          reply: whether the receiver is to reply.
+          about: name of the version; if empty, the version that is fetched.
+        """
         manifest_name = about
         if not manifest_name and self._wanted is not None:
             manifest_name = self._wanted.name
-        whole = self._wholes.get(manifest_name)
+        whole = self._chunk_sets.get(manifest_name)
         if whole is None:
             return
-        current = self._current(manifest_name)
+        current = self._swarm_of(manifest_name)
         seen = whole.held if current is None else current.seen
         hello = messages.PeerHello(
             vm_id=self._own.vm_id,
@@ -337,27 +370,27 @@
         )
         self._send(name, hello)
 
-    # Pieces that arrive.
+    # Received pieces.
 
     def _on_fragment(
         self, name: str, reply: fleet_messages.FragmentReply
     ) -> None:
-        current = self._current(reply.manifest)
-        if current is None or not self._downloads.awaits(name, reply):
+        current = self._swarm_of(reply.manifest)
+        if current is None or not self._downloads.expects(name, reply):
             return
         if reply.data is None:
             self._downloads.cancel(reply.index)
             now_ms = self._clock.now_ms()
             current.record_refusal(reply.index, ids.VmId(name), now_ms)
             return
-        data = self._downloads.take(reply)
+        data = self._downloads.add_fragment(reply)
         if data is not None:
-            self._take_piece(reply.manifest, reply.index, data, name)
+            self._add_piece(reply.manifest, reply.index, data, name)
 
-    def _take_piece(
+    def _add_piece(
         self, name: str, index: int, data: bytes, peer: str | None
     ) -> None:
-        whole = self._wholes.get(name)
+        whole = self._chunk_sets.get(name)
         if whole is None:
             return
         known = whole.get(index) is not None
@@ -369,7 +402,7 @@
         else:
             self._totals.add(counters.CounterName.CHUNKS_REJECTED, source)
             logs.log("piece_corrupt", index=index, source=peer or source)
-        current = self._current(name)
+        current = self._swarm_of(name)
         if current is not None:
             sender = None if peer is None else ids.VmId(peer)
             now_ms = self._clock.now_ms()
@@ -379,10 +412,10 @@
         self.changed.set()
         self._wake.set()
 
-    # Regular work.
+    # Regular checks.
 
-    async def _tick_all(self) -> None:
-        await piece_ticks.run(
+    async def _run_checks(self) -> None:
+        await check_loop.run(
             self._wake,
             lambda: self._wait_ms,
             self._tick,
@@ -392,9 +425,9 @@
 
     @property
     def _wait_ms(self) -> float:
-        """Time to the next look, unless a message comes before."""
+        """Time to the next check, unless a message ends the wait."""
         missing = self._swarm is not None and not self._swarm.settled
-        return TICK_MS if missing else SETTLED_TICK_MS
+        return TICK_MS if missing else IDLE_TICK_MS
 
     def _tick(self) -> None:
         if self._swarm is None or self._wanted is None:
@@ -402,7 +435,7 @@
         self._announce(self._swarm, self._wanted)
         self._relays.tick(self._swarm)
         self._drop_silent(self._swarm)
-        self._standstill.check(self._swarm)
+        self._stall_monitor.check(self._swarm)
         for action in self._swarm.next_actions(self._clock.now_ms()):
             match action:
                 case swarm.FetchFromPeer():
@@ -410,17 +443,17 @@
                 case swarm.CancelFetch():
                     self._downloads.cancel(action.index)
                 case swarm.FetchFromOrigin():
-                    self._draws.start(self._wanted, action.index)
+                    self._origin_fetches.start(self._wanted, action.index)
 
-    def _on_drawn(
+    def _on_fetched(
         self, wanted: version_digests.Wanted, index: int, data: bytes
     ) -> None:
-        self._take_piece(wanted.name, index, data, None)
+        self._add_piece(wanted.name, index, data, None)
 
-    def _on_not_drawn(
+    def _on_fetch_failed(
         self, wanted: version_digests.Wanted, index: int, retry_after_ms: float
     ) -> None:
-        current = self._current(wanted.name)
+        current = self._swarm_of(wanted.name)
         if current is not None:
             now_ms = self._clock.now_ms()
             current.record_origin_failure(index, retry_after_ms, now_ms)
@@ -448,11 +481,11 @@
             return
         horizon_ms = self._clock.now_ms() - PEER_TIMEOUT_MS
         for name in current.peer_ids:
-            if self._heard_ms.get(name, 0.0) < horizon_ms:
+            if self._last_message_ms.get(name, 0.0) < horizon_ms:
                 current.remove_peer(name)
                 self._downloads.drop_peer(name)
 
-    def _current(self, name: str) -> swarm.Swarm | None:
+    def _swarm_of(self, name: str) -> swarm.Swarm | None:
         wanted = self._wanted is not None and name == self._wanted.name
         return self._swarm if wanted else None
 
--- a/src/marlramp/direct/weights/piece_policy.py
+++ b/src/marlramp/direct/weights/piece_policy.py
@@ -1,38 +1,39 @@
-"""How the swarm behaves on the users' platform, with reasons."""
+"""Parameters of the swarm for the users' platform."""
 
 from __future__ import annotations
 
 from marlramp.core import swarm
 
 TAKEOVER_MS = 2_200.0
-"""Wait per rank before another agent draws a piece from the origin: the time
-in which one copy leaves it. With less, pieces that wait for their turn are
-drawn twice, and the first copy is whole later."""
+"""Delay per rank before another agent fetches a piece from the origin: the time
+in which one copy leaves the origin. With a shorter delay, pieces that still
+queue at the origin are fetched twice, and the first copy is complete later."""
 
 TAKEOVER_MAX_MS = 1_200.0
-"""Most that a wait derived from a slow pass grows to."""
+"""Limit to which the delay per rank grows while pieces arrive slowly."""
 
 ORIGIN_COPIES_MAX = 2.0
-"""Copies drawn from the origin without a fault: its link is idle after the
-first, and agents that load in later turns come by their pieces sooner."""
+"""Copies that are fetched from the origin in the absence of faults. Its link is
+idle after the first copy, and with a second one the agents that load later
+receive their pieces sooner."""
 
 ORIGIN_WINDOW = 8
-"""Pieces on their way from the origin at once: each comes soon and is passed on
-while the next ones leave. Of 32 that share its link the first is there after
-half of a copy's time."""
+"""Pieces that are in flight from the origin at once. With few pieces, each
+arrives soon and is passed on while the next ones leave. If 32 pieces share the
+origin's link, the first one arrives after half of the time of a copy."""
 
 DOWNLOADS_MAX = 12
-"""Pieces on their way from neighbours at once."""
+"""Pieces that are in flight from neighbours at once."""
 
 IMPORT_TAKEOVER_MS = 3_200.0
-"""Wait per rank before another agent brings a piece into its region. It is
+"""Delay per rank before another agent imports a piece into its region. It is
 longer than most imports take: with 2 s, 4 copies crossed between three regions
 where 2 are needed. A dead agent loses its rank at once."""
 
 RARE_WAIT_MS = 2_200.0
-"""Wait per rank before a piece whose only holder has a slow link is drawn
-again: 2.2 s of the 8 s that a version may take, and longer than a piece has
-one holder while links keep their rate."""
+"""Delay per rank before a piece whose only holder has a slow link is fetched
+from the origin again: 2.2 s of the 8 s that a rollout may take, and longer than
+a piece has a single holder while the links keep their rate."""
 
 POLICY = swarm.SwarmPolicy(
     ORIGIN_COPIES_MAX,
--- a/src/marlramp/direct/weights/piece_relay.py
+++ b/src/marlramp/direct/weights/piece_relay.py
@@ -1,7 +1,8 @@
-"""An entry's part in distributing weights: it holds pieces for agents near it.
+"""Relays pieces of weights: an entry holds pieces for the agents near it.
 
-`core.relay_duty` says which pieces, `core.relay_fetch` when and from whom. What
-comes is verified before anybody else gets it.
+`core.relay_assignment` decides which pieces an entry holds, `core.relay_fetch`
+when and from which source they are fetched. Every piece is verified before it
+is passed on.
 """
 
 from __future__ import annotations
@@ -20,41 +21,48 @@
 from marlramp.core import chunk_bitmap
 from marlramp.core import relay_assignment
 from marlramp.core import relay_fetch
+from marlramp.direct.weights import check_loop
+from marlramp.direct.weights import origin_fetches
 from marlramp.direct.weights import piece_downloads
-from marlramp.direct.weights import piece_draws
-from marlramp.direct.weights import piece_ticks
 from marlramp.direct.weights import piece_uploads
 from marlramp.direct.weights import version_digests
 from marlramp.protocol import fleet_messages
 from marlramp.protocol import messages
 
 LINK_SHARE = 0.8
-"""Part of an entry's link on which pieces may leave; requests use a tenth. The
-first pieces are wanted by all agents of the cell at once."""
+"""Fraction of an entry's link that pieces may use; live requests use a tenth of
+the link. All agents of the cell request the first pieces at once."""
 
 TICK_MS = 20.0
-"""Between two looks at what to fetch and announce while pieces are missing."""
+"""Interval between checks for pieces to fetch and announce while pieces are
+missing."""
 
 IDLE_TICK_MS = 500.0
-"""The same while none is; a message ends the wait at once."""
+"""Interval between checks while no piece is missing; a message ends the wait at
+once."""
 
 HELLO_MS = 1_000.0
-"""Between two greetings of the entries that hold the same pieces, while some
-are missing: the answers mend what an announcement lost."""
+"""Interval between hello messages to the entries that are assigned the same
+pieces, while pieces are missing. The replies replace lost announcements."""
 
-ASKED_LATELY_MS = 2_000.0
-"""A version that is not the newest is drawn only if an agent that lacks it has
-asked this lately: three times as long as agents wait between two questions."""
+DEMAND_MAX_AGE_MS = 2_000.0
+"""Time after the last request of an agent that lacks pieces during which a
+version that is not the newest may be fetched from the origin. It is three times
+the interval between the requests of an agent."""
 
 VERSIONS_KEPT = 3
-"""Versions of which pieces are held: the one in force and two after it."""
+"""Maximum number of versions whose pieces are held: the one in force and the
+next two."""
 
 
 class Surroundings(Protocol):
-    """What the relay asks the entry that it belongs to."""
+    """What the relay queries from the entry that it belongs to."""
 
     def places(self) -> Mapping[str, relay_assignment.Location]:
-        """Returns the entries that relay pieces, this one among them."""
+        """Returns the locations, by name, of the entries that relay pieces.
+
+        This entry is among them, unless it is leaving.
+        """
         ...
 
     def wanted(self) -> Sequence[version_digests.Wanted]:
@@ -62,33 +70,41 @@
         ...
 
     def piece_ms(self) -> float:
-        """Returns the time in which a piece leaves the origin."""
+        """Returns the time in ms in which a piece leaves the origin."""
         ...
 
     def origin_connections(self) -> int:
-        """Returns the connections that the origin takes in all."""
+        """Returns the number of connections that the origin accepts."""
         ...
 
     def age_ms(self, wanted: version_digests.Wanted) -> float | None:
-        """Returns the time since a version was named, None if not known."""
+        """Returns the time in ms since a version was named, None if unknown."""
         ...
 
     def send_piece_message(self, name: str, message: msgspec.Struct) -> bool:
-        """Sends to an entry or agent; opens a link to an entry."""
+        """Sends a message to an entry or agent.
+
+        A link to an entry is opened if there is none.
+
+        Returns:
+          Whether a link took the message.
+        """
         ...
 
 
 class _Version:
-    """One version that pieces are held of.
+    """State of one version whose pieces are held.
 
     Attributes:
-      fetch: what is asked for, None before the digests are known.
-      listeners: processes that are told what comes.
-      news: pieces that came since they were told last.
-      finding: the search for the digests.
-      greeted_ms: when the other entries were asked what they hold.
-      asked_ms: when an agent that lacks pieces asked last.
-      seen: pieces that somebody is known to hold.
+      wanted: the version.
+      downloads: downloads from other processes.
+      fetch: state of the fetches, None before the digests are known.
+      subscribers: processes that receive announcements of new pieces.
+      unannounced: pieces that were added since the last announcement.
+      start_task: task that finds the digests and then starts the fetches.
+      hello_sent_ms: time of the last hello messages to the other entries.
+      demand_ms: time of the last request of an agent that lacks pieces.
+      seen: pieces that some process is known to hold.
     """
 
     def __init__(
@@ -99,16 +115,16 @@
         self.wanted = wanted
         self.downloads = downloads
         self.fetch: relay_fetch.RelayFetch | None = None
-        self.listeners: set[str] = set()
-        self.news: list[int] = []
-        self.finding: asyncio.Task[None] | None = None
-        self.greeted_ms = float("-inf")
-        self.asked_ms = float("-inf")
+        self.subscribers: set[str] = set()
+        self.unannounced: list[int] = []
+        self.start_task: asyncio.Task[None] | None = None
+        self.hello_sent_ms = float("-inf")
+        self.demand_ms = float("-inf")
         self.seen: set[int] = set()
 
 
 class PieceRelay:
-    """Fetches the pieces that this entry is to hold, and serves them."""
+    """Fetches the pieces that are assigned to this entry, and serves them."""
 
     def __init__(
         self,
@@ -119,15 +135,16 @@
         time: clock.Clock,
         rng: random.Random | None = None,
     ) -> None:
-        """Holds nothing.
+        """Starts without pieces.
 
         Args:
-          own: this entry.
-          surroundings: the entry.
+          own: name of this entry.
+          surroundings: the entry that the relay belongs to.
           link_bytes_per_s: rate of the VM's link.
           totals: counters.
           time: the clock.
-          rng: draws whom to ask for digests; a seeded one makes runs repeat.
+          rng: random numbers that pick the processes to request digests from;
+            seeded ones make runs repeatable.
         """
         self._own = own
         self._surroundings = surroundings
@@ -136,46 +153,46 @@
         self._clock = time
         self._send = surroundings.send_piece_message
         self._digests = version_digests.VersionDigests(
-            own, self._others, self._send, time, rng, asks_first=True
+            own, self._others, self._send, time, rng, queries_fetchers=True
         )
-        self._wholes = self._digests.wholes
+        self._chunk_sets = self._digests.chunk_sets
         self._uploads = piece_uploads.PieceUploads(
-            self._wholes, self._send, self._rate, time
+            self._chunk_sets, self._send, self._rate, time
         )
-        self._draws = piece_draws.PieceDraws(
-            self._on_drawn, self._on_not_drawn, time
+        self._origin_fetches = origin_fetches.OriginFetches(
+            self._on_fetched, self._on_fetch_failed, time
         )
         self._versions: dict[str, _Version] = {}
-        self._places: Mapping[str, relay_assignment.Location] = {}
+        self._locations: Mapping[str, relay_assignment.Location] = {}
         self._newest: dict[str, version_digests.Wanted] = {}
         self._wake = asyncio.Event()
 
     def set_origin(self, origin: version_digests.Origin | None) -> None:
-        """Takes the origin to draw from."""
+        """Sets the origin to fetch from, None while it is unknown."""
         self._digests.origin = origin
-        self._draws.origin = origin
+        self._origin_fetches.origin = origin
 
     def look(self) -> None:
-        """Looks at once at what is named and who is there."""
+        """Checks the named versions and the relaying entries at once."""
         self._wake.set()
 
     async def run(self) -> None:
-        """Fetches and serves for ever."""
+        """Fetches and serves pieces until cancelled."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self._uploads.run())
-            group.create_task(self._tick_all())
+            group.create_task(self._run_checks())
 
     def on_message(
         self, name: str, message: fleet_messages.FromAgentPeer
     ) -> None:
-        """Takes a message of an agent or another entry about weights."""
+        """Handles a message about weights from an agent or another entry."""
         match message:
             case messages.PeerHello():
                 self._on_hello(name, message)
             case messages.PeerHave():
                 self._on_have(name, message)
             case fleet_messages.FragmentRequest():
-                self._uploads.request(name, message)
+                self._uploads.handle_request(name, message)
             case fleet_messages.FragmentReply():
                 self._on_fragment(name, message)
             case messages.ManifestRequest():
@@ -184,28 +201,32 @@
                 self._digests.on_reply(message)
         self._wake.set()
 
-    # What is wanted.
+    # Versions.
 
     def _others(self) -> list[str]:
-        return [name for name in self._places if name != self._own]
+        return [name for name in self._locations if name != self._own]
 
-    def _take_wanted(self) -> None:
+    def _add_newest(self) -> None:
         newest = self._surroundings.wanted()
         self._newest = {wanted.model: wanted for wanted in newest}
         for wanted in newest:
-            self._want(wanted)
+            self._add_version(wanted)
 
     def _is_newest(self, wanted: version_digests.Wanted) -> bool:
         return self._newest.get(wanted.model) == wanted
 
-    def _may_draw(self, version: _Version) -> bool:
-        """Returns whether a version is worth the origin's time."""
+    def _may_use_origin(self, version: _Version) -> bool:
+        """Returns whether a version may be fetched from the origin.
+
+        The newest version may, and a version that an agent requested within
+        `DEMAND_MAX_AGE_MS`.
+        """
         if self._is_newest(version.wanted):
             return True
-        return self._clock.now_ms() - version.asked_ms < ASKED_LATELY_MS
+        return self._clock.now_ms() - version.demand_ms < DEMAND_MAX_AGE_MS
 
-    def _want(self, wanted: version_digests.Wanted) -> _Version:
-        """Starts to hold pieces of a version."""
+    def _add_version(self, wanted: version_digests.Wanted) -> _Version:
+        """Returns the state of a version; adds the version if it is new."""
         version = self._versions.get(wanted.name)
         if version is not None:
             return version
@@ -214,13 +235,13 @@
         )
         version = _Version(wanted, downloads)
         self._versions[wanted.name] = version
-        version.finding = asyncio.create_task(self._find(version))
+        version.start_task = asyncio.create_task(self._start_fetch(version))
         while len(self._versions) > VERSIONS_KEPT:
             self._drop(self._least_wanted())
         return version
 
     def _least_wanted(self) -> str:
-        """Returns the version longest here that is not the newest."""
+        """Returns the name of the oldest version that is not the newest one."""
         for name, version in self._versions.items():
             if not self._is_newest(version.wanted):
                 return name
@@ -228,17 +249,17 @@
 
     def _drop(self, name: str) -> None:
         version = self._versions.pop(name)
-        if version.finding is not None:
-            version.finding.cancel()
-        self._wholes.pop(name, None)
-
-    async def _find(self, version: _Version) -> None:
-        """Learns the digests of a version, then begins to fetch."""
-        whole = await self._digests.find(version.wanted)
-        pieces = whole.manifest.chunks
-        version.downloads.fetch(
+        if version.start_task is not None:
+            version.start_task.cancel()
+        self._chunk_sets.pop(name, None)
+
+    async def _start_fetch(self, version: _Version) -> None:
+        """Finds the digests of a version, then starts to fetch its pieces."""
+        chunk_set = await self._digests.find(version.wanted)
+        pieces = chunk_set.manifest.chunks
+        version.downloads.set_version(
             piece_downloads.Version(
-                version.wanted.name, whole.manifest.chunk_size
+                version.wanted.name, chunk_set.manifest.chunk_size
             )
         )
         version.fetch = relay_fetch.RelayFetch(
@@ -248,51 +269,52 @@
             self._clock.now_ms(),
         )
         version.fetch.set_assignments(
-            relay_assignment.assignments(self._own, self._places, pieces),
-            len(self._places),
+            relay_assignment.assignments(self._own, self._locations, pieces),
+            len(self._locations),
         )
-        for index in whole.held:
+        for index in chunk_set.held:
             version.fetch.record_held(index, self._clock.now_ms())
-        version.news.extend(sorted(whole.held))
-        if version.asked_ms > float("-inf"):
+        version.unannounced.extend(sorted(chunk_set.held))
+        if version.demand_ms > float("-inf"):
             version.fetch.record_demand(self._clock.now_ms())
         self._wake.set()
 
-    # Others.
+    # Other processes.
 
-    def _take_places(self) -> None:
-        """Takes who is there; the duties follow.
+    def _update_locations(self) -> None:
+        """Updates the locations of entries and the assignments that follow.
 
-        An entry that leaves keeps its duties until it ends: what is on its way
-        to it is passed on, and others have them too by then.
+        An entry that leaves keeps its own assignments until it stops: it
+        passes on the pieces that are still in flight to it, and meanwhile they
+        are assigned to other entries too.
         """
         places = self._surroundings.places()
-        if places == self._places or self._own not in places:
+        if places == self._locations or self._own not in places:
             return
-        gone = self._places.keys() - places.keys()
-        self._places = places
+        gone = self._locations.keys() - places.keys()
+        self._locations = places
         for version in self._versions.values():
-            whole = self._wholes.get(version.wanted.name)
-            if version.fetch is None or whole is None:
+            chunk_set = self._chunk_sets.get(version.wanted.name)
+            if version.fetch is None or chunk_set is None:
                 continue
             for name in gone:
                 version.fetch.remove_peer(name)
             version.fetch.set_assignments(
                 relay_assignment.assignments(
-                    self._own, places, whole.manifest.chunks
+                    self._own, places, chunk_set.manifest.chunks
                 ),
                 len(places),
             )
-            version.greeted_ms = float("-inf")
+            version.hello_sent_ms = float("-inf")
 
-    def _greet(self, version: _Version) -> None:
-        """Asks the entries that hold the same pieces what they hold."""
+    def _request_holdings(self, version: _Version) -> None:
+        """Requests the holdings of entries with the same assigned pieces."""
         now_ms = self._clock.now_ms()
         if version.fetch is None or version.fetch.complete:
             return
-        if now_ms - version.greeted_ms < HELLO_MS:
+        if now_ms - version.hello_sent_ms < HELLO_MS:
             return
-        version.greeted_ms = now_ms
+        version.hello_sent_ms = now_ms
         hello = self._hello(version.wanted.name, reply=True)
         for name in sorted(version.fetch.sources):
             self._send(name, hello)
@@ -300,13 +322,13 @@
     def _on_hello(self, name: str, hello: messages.PeerHello) -> None:
         version = self._versions.get(hello.manifest)
         if version is None:
-            # An agent may lack one that is not the newest, or another entry
-            # may have heard of a newer one first.
-            self._take_wanted()
+            # An agent may lack a version that is not the newest, or another
+            # entry may have heard of a newer version first.
+            self._add_newest()
             wanted = version_digests.parse_name(hello.manifest)
             if wanted is None or wanted.model not in self._newest:
                 return
-            version = self._want(wanted)
+            version = self._add_version(wanted)
         now_ms = self._clock.now_ms()
         held = chunk_bitmap.from_bitmap(hello.held)
         version.seen.update(held, chunk_bitmap.from_bitmap(hello.seen))
@@ -314,9 +336,9 @@
             version.fetch.record_holdings(name, held, now_ms)
         if not hello.reply:
             return
-        version.listeners.add(name)
-        if name not in self._places:
-            version.asked_ms = now_ms
+        version.subscribers.add(name)
+        if name not in self._locations:
+            version.demand_ms = now_ms
             if version.fetch is not None:
                 version.fetch.record_demand(now_ms)
         self._send(name, self._hello(hello.manifest, reply=False))
@@ -329,13 +351,15 @@
         version.fetch.record_holdings(name, have.indexes, self._clock.now_ms())
 
     def _hello(self, name: str, *, reply: bool) -> messages.PeerHello:
-        whole = self._wholes.get(name)
-        held = b"" if whole is None else chunk_bitmap.to_bitmap(whole.held)
+        chunk_set = self._chunk_sets.get(name)
+        held = (
+            b"" if chunk_set is None else chunk_bitmap.to_bitmap(chunk_set.held)
+        )
         return messages.PeerHello(
             vm_id=self._own, manifest=name, held=held, seen=held, reply=reply
         )
 
-    # Pieces that arrive.
+    # Received pieces.
 
     def _on_fragment(
         self, name: str, reply: fleet_messages.FragmentReply
@@ -343,7 +367,7 @@
         version = self._versions.get(reply.manifest)
         if version is None or version.fetch is None:
             return
-        if not version.downloads.awaits(name, reply):
+        if not version.downloads.expects(name, reply):
             return
         if reply.data is None:
             version.downloads.cancel(reply.index)
@@ -351,18 +375,18 @@
                 reply.index, name, self._clock.now_ms()
             )
             return
-        data = version.downloads.take(reply)
+        data = version.downloads.add_fragment(reply)
         if data is not None:
-            self._take_piece(version, reply.index, data, name)
+            self._add_piece(version, reply.index, data, name)
 
-    def _on_drawn(
+    def _on_fetched(
         self, wanted: version_digests.Wanted, index: int, data: bytes
     ) -> None:
         version = self._versions.get(wanted.name)
         if version is not None:
-            self._take_piece(version, index, data, None)
+            self._add_piece(version, index, data, None)
 
-    def _on_not_drawn(
+    def _on_fetch_failed(
         self, wanted: version_digests.Wanted, index: int, retry_after_ms: float
     ) -> None:
         version = self._versions.get(wanted.name)
@@ -375,21 +399,21 @@
             )
 
     def _missing(self, version: _Version) -> list[int]:
-        """Returns the pieces that nobody is known to hold."""
-        whole = self._wholes.get(version.wanted.name)
-        if whole is None:
+        """Returns the pieces that no process is known to hold."""
+        chunk_set = self._chunk_sets.get(version.wanted.name)
+        if chunk_set is None:
             return []
-        count = len(whole.manifest.chunks)
-        return sorted(set(range(count)) - version.seen - whole.held)
+        count = len(chunk_set.manifest.chunks)
+        return sorted(set(range(count)) - version.seen - chunk_set.held)
 
-    def _take_piece(
+    def _add_piece(
         self, version: _Version, index: int, data: bytes, peer: str | None
     ) -> None:
-        whole = self._wholes.get(version.wanted.name)
-        if whole is None or version.fetch is None:
+        chunk_set = self._chunk_sets.get(version.wanted.name)
+        if chunk_set is None or version.fetch is None:
             return
         source = "origin" if peer is None else "peer"
-        if not whole.add(index, data):
+        if not chunk_set.add(index, data):
             self._totals.add(counters.CounterName.CHUNKS_REJECTED, source)
             logs.log("piece_corrupt", index=index, source=peer or source)
             version.fetch.record_failed_request(
@@ -398,13 +422,13 @@
             return
         self._totals.add(counters.CounterName.CHUNKS_RECEIVED, source)
         version.fetch.record_held(index, self._clock.now_ms())
-        version.news.append(index)
+        version.unannounced.append(index)
         self._wake.set()
 
-    # Regular work.
+    # Regular checks.
 
-    async def _tick_all(self) -> None:
-        await piece_ticks.run(
+    async def _run_checks(self) -> None:
+        await check_loop.run(
             self._wake,
             lambda: self._wait_ms,
             self._tick,
@@ -414,7 +438,7 @@
 
     @property
     def _wait_ms(self) -> float:
-        """Time to the next look, unless a message comes before."""
+        """Time to the next check, unless a message ends the wait."""
         missing = any(
             version.fetch is None or not version.fetch.complete
             for version in self._versions.values()
@@ -422,31 +446,31 @@
         return TICK_MS if missing else IDLE_TICK_MS
 
     def _tick(self) -> None:
-        self._take_places()
-        if not self._places:
+        self._update_locations()
+        if not self._locations:
             return
-        self._take_wanted()
+        self._add_newest()
         for version in self._versions.values():
-            self._greet(version)
+            self._request_holdings(version)
             self._announce(version)
             self._act(version)
 
     def _announce(self, version: _Version) -> None:
-        if not version.news:
+        if not version.unannounced:
             return
         have = messages.PeerHave(
-            manifest=version.wanted.name, indexes=version.news, seen=[]
+            manifest=version.wanted.name, indexes=version.unannounced, seen=[]
         )
-        version.news = []
-        for name in sorted(version.listeners):
+        version.unannounced = []
+        for name in sorted(version.subscribers):
             if not self._send(name, have):
-                version.listeners.discard(name)
+                version.subscribers.discard(name)
 
     def _act(self, version: _Version) -> None:
         if version.fetch is None:
             return
         actions = version.fetch.next_actions(
-            self._clock.now_ms(), may_use_origin=self._may_draw(version)
+            self._clock.now_ms(), may_use_origin=self._may_use_origin(version)
         )
         for action in actions:
             match action:
@@ -455,4 +479,4 @@
                 case relay_fetch.CancelFetch():
                     version.downloads.cancel(action.index)
                 case relay_fetch.FetchFromOrigin():
-                    self._draws.start(version.wanted, action.index)
+                    self._origin_fetches.start(version.wanted, action.index)
--- a/src/marlramp/direct/weights/piece_uploads.py
+++ b/src/marlramp/direct/weights/piece_uploads.py
@@ -1,4 +1,4 @@
-"""Sends fragments of pieces to other agents at the paced rate."""
+"""Sends fragments of pieces to other processes at a limited rate."""
 
 from __future__ import annotations
 
@@ -16,68 +16,81 @@
 from marlramp.protocol import fleet_messages
 
 FRAGMENT_BYTES = 4_096
-"""8.6 ms of a link of 3.8 Mbit/s."""
+"""Maximum size of a fragment. A link of 3.8 Mbit/s carries one in 8.6 ms."""
 
 UPLOADS_MAX = 64
-"""Fragments waiting to be sent; beyond that a neighbour asks elsewhere."""
+"""Maximum number of queued fragments. Requests for further pieces are refused,
+and the receiver requests them from another process."""
 
 TRANSFER_IDLE_MS = 400.0
-"""A receiver that asks for nothing more this long has given a piece up."""
+"""Time without a request after which the receiver is assumed to have given up
+the piece."""
 
 
 class _Transfer(msgspec.Struct):
-    """A piece on its way to one agent.
+    """The transfer of one piece to one receiver.
 
     Attributes:
-      requests: fragments asked for and not sent yet.
-      asked_ms: when the last of them was asked for.
+      requests: fragments that were requested and not sent yet.
+      last_request_ms: time of the last request.
     """
 
     requests: collections.deque[fleet_messages.FragmentRequest]
-    asked_ms: float
+    last_request_ms: float
 
 
 _Key: TypeAlias = tuple[str, str, int]
-"""Receiver, name of the version, index of the piece."""
+"""Name of the receiver, name of the version, index of the piece."""
 
 
 class PieceUploads:
-    """Pieces that other processes ask for, fragment by fragment.
+    """Queue of the fragments that other processes request.
 
-    The piece that was begun first goes first, since it can be passed on as
-    soon as it is whole: sixteen that share a link would all be whole only when
-    the last one is.
+    The transfer that started first is served first, because its receiver can
+    pass the piece on as soon as it is complete. If sixteen transfers shared the
+    link, all of them would complete only when the last one does.
     """
 
     def __init__(
         self,
-        wholes: Mapping[str, manifest.ChunkSet],
+        chunk_sets: Mapping[str, manifest.ChunkSet],
         send: Callable[[str, msgspec.Struct], bool],
         bytes_per_s: float,
         time: clock.Clock,
     ) -> None:
-        """Sends from `wholes`, by name of the version, through `send`."""
-        self._wholes = wholes
+        """Starts with an empty queue.
+
+        Args:
+          chunk_sets: pieces held, by name of the version.
+          send: sends a message to a process; returns whether a link took it.
+          bytes_per_s: maximum rate at which data is sent.
+          time: the clock.
+        """
+        self._chunk_sets = chunk_sets
         self._send = send
         self._pacer = pacing.Pacer(bytes_per_s)
         self._clock = time
         self._transfers: dict[_Key, _Transfer] = {}
         self._ready = asyncio.Event()
 
-    def request(
+    def handle_request(
         self, name: str, request: fleet_messages.FragmentRequest
     ) -> None:
-        """Queues a fragment, or refuses what can't be sent soon."""
+        """Queues a requested fragment, or refuses it.
+
+        A request for a piece that is not held, or for a further piece while
+        the queue is full, is refused with a reply without data.
+        """
         transfer = self._transfer(name, request)
         if transfer is None:
             self._send(name, _reply(request, None))
             return
         transfer.requests.append(request)
-        transfer.asked_ms = self._clock.now_ms()
+        transfer.last_request_ms = self._clock.now_ms()
         self._ready.set()
 
     async def run(self) -> None:
-        """Sends for ever."""
+        """Sends queued fragments until cancelled."""
         while True:
             key = self._next_key()
             if key is None:
@@ -96,7 +109,7 @@
     def _transfer(
         self, name: str, request: fleet_messages.FragmentRequest
     ) -> _Transfer | None:
-        """Returns the transfer of a piece, None if it can't go on soon."""
+        """Returns the transfer of a piece, None if the request is refused."""
         key = (name, request.manifest, request.index)
         transfer = self._transfers.get(key)
         if transfer is not None:
@@ -112,31 +125,31 @@
         return transfer
 
     def _drop_idle(self) -> None:
-        """Forgets pieces that their receivers have given up."""
+        """Removes the transfers that their receivers have given up."""
         horizon_ms = self._clock.now_ms() - TRANSFER_IDLE_MS
         for key, transfer in list(self._transfers.items()):
-            if not transfer.requests and transfer.asked_ms < horizon_ms:
+            if not transfer.requests and transfer.last_request_ms < horizon_ms:
                 del self._transfers[key]
 
     def _next_key(self) -> _Key | None:
-        """Returns the piece begun first of those that something is due of."""
+        """Returns the key of the oldest transfer that has queued fragments."""
         for key, transfer in self._transfers.items():
             if transfer.requests:
                 return key
         return None
 
     def _is_last(self, request: fleet_messages.FragmentRequest) -> bool:
-        whole = self._wholes.get(request.manifest)
-        if whole is None:
+        chunk_set = self._chunk_sets.get(request.manifest)
+        if chunk_set is None:
             return True
-        size = whole.manifest.chunk_size(request.index)
+        size = chunk_set.manifest.chunk_size(request.index)
         return request.offset + FRAGMENT_BYTES >= size
 
     def _fragment(
         self, request: fleet_messages.FragmentRequest
     ) -> bytes | None:
-        whole = self._wholes.get(request.manifest)
-        data = None if whole is None else whole.get(request.index)
+        chunk_set = self._chunk_sets.get(request.manifest)
+        data = None if chunk_set is None else chunk_set.get(request.index)
         if data is None:
             return None
         return data[request.offset : request.offset + FRAGMENT_BYTES]
--- a/src/marlramp/direct/weights/relay_contacts.py
+++ b/src/marlramp/direct/weights/relay_contacts.py
@@ -1,4 +1,4 @@
-"""An agent's dealings with the entries that relay pieces to it."""
+"""Exchanges messages with the entries that relay pieces to an agent."""
 
 from __future__ import annotations
 
@@ -12,15 +12,16 @@
 from marlramp.core import swarm
 
 HELLO_MS = 700.0
-"""Between two greetings of the relays while pieces are missing: their answer
-shows that they are there, and mends what an announcement lost."""
+"""Interval between hello messages to the relays while pieces are missing. The
+replies show that the relays are alive, and replace lost announcements."""
 
 ALIVE_MS = 1_600.0
-"""A relay that was heard this lately works: it may miss one greeting."""
+"""Time after the last message of a relay during which it counts as alive; one
+hello message may stay unanswered."""
 
 
 class Links(Protocol):
-    """What carries messages to entries."""
+    """Links that carry messages to entries."""
 
     def send(self, name: str, message: msgspec.Struct) -> bool:
         """Sends a message; returns whether a link took it."""
@@ -28,75 +29,81 @@
 
 
 class RelayContacts:
-    """Greets relays and knows which of them work.
+    """Sends hello messages to the relays and tracks which of them are alive.
 
     Attributes:
-      names: the entries near that relay pieces.
+      names: the nearby entries that relay pieces.
     """
 
     def __init__(
-        self, greet: Callable[[str, bool], None], time: clock.Clock
+        self, send_hello: Callable[[str, bool], None], time: clock.Clock
     ) -> None:
-        """Knows no relay.
+        """Starts without relays.
 
         Args:
-          greet: tells a relay what is held here, and whether it is to answer.
+          send_hello: sends a relay the pieces held here, and whether it is to
+            reply.
           time: the clock.
         """
-        self._greet = greet
+        self._send_hello = send_hello
         self._clock = time
         self._links: Links | None = None
-        self._heard_ms: dict[str, float] = {}
-        self._greeted_ms = float("-inf")
-        self._told = False
+        self._last_message_ms: dict[str, float] = {}
+        self._hello_sent_ms = float("-inf")
+        self._completion_reported = False
         self.names: frozenset[str] = frozenset()
 
     def attach(self, links: Links) -> None:
-        """Takes the links to entries."""
+        """Sets the links to entries."""
         self._links = links
 
     def set_names(self, names: Iterable[str]) -> None:
-        """Takes the entries near that relay pieces."""
+        """Sets the nearby entries that relay pieces."""
         self.names = frozenset(names)
-        self.look()
+        self.restart()
 
-    def look(self) -> None:
-        """Has the relays greeted at once, as for another version."""
-        self._greeted_ms = float("-inf")
-        self._told = False
+    def restart(self) -> None:
+        """Lets the next check send hello messages, as for another version."""
+        self._hello_sent_ms = float("-inf")
+        self._completion_reported = False
 
-    def heard(self, name: str) -> None:
-        """Records that a relay was heard."""
+    def record_message(self, name: str) -> None:
+        """Records the time of a message if a relay sent it."""
         if name in self.names:
-            self._heard_ms[name] = self._clock.now_ms()
+            self._last_message_ms[name] = self._clock.now_ms()
 
     def send(self, name: str, message: msgspec.Struct) -> bool:
-        """Sends to a relay; returns whether a link took it."""
+        """Sends a message to a relay; returns whether a link took it."""
         return self._links is not None and self._links.send(name, message)
 
     def tick(self, current: swarm.Swarm) -> None:
-        """Asks relays what they hold, and names those that answer.
+        """Requests the holdings of the relays and updates the swarm's relays.
 
-        Once nothing is missing here they are told so, once: what an agent
-        holds need not leave the origin again.
+        Only relays that are alive are set in the swarm. When no piece is
+        missing any more, a single hello message reports this to the relays,
+        because pieces that an agent holds need not leave the origin again.
+
+        Args:
+          current: the swarm of the version that is fetched.
         """
         if current.complete:
-            if not self._told:
-                self._told = True
-                self._greet_all(reply=False)
+            if not self._completion_reported:
+                self._completion_reported = True
+                self._send_hello_to_all(reply=False)
             return
         now_ms = self._clock.now_ms()
         current.set_relays(
             [
                 name
                 for name in self.names
-                if now_ms - self._heard_ms.get(name, float("-inf")) <= ALIVE_MS
+                if now_ms - self._last_message_ms.get(name, float("-inf"))
+                <= ALIVE_MS
             ]
         )
-        if now_ms - self._greeted_ms >= HELLO_MS:
-            self._greeted_ms = now_ms
-            self._greet_all(reply=True)
+        if now_ms - self._hello_sent_ms >= HELLO_MS:
+            self._hello_sent_ms = now_ms
+            self._send_hello_to_all(reply=True)
 
-    def _greet_all(self, *, reply: bool) -> None:
+    def _send_hello_to_all(self, *, reply: bool) -> None:
         for name in sorted(self.names):
-            self._greet(name, reply)
+            self._send_hello(name, reply)
--- a/src/marlramp/direct/weights/rollout_times.py
+++ b/src/marlramp/direct/weights/rollout_times.py
@@ -1,4 +1,4 @@
-"""When a version passed each step on its way into the engine on this VM."""
+"""Records when a version reached each phase of its rollout on this VM."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Phase(enum.Enum):
-    """Steps of a version, in their order."""
+    """Phases of a version, in their order."""
 
     HEARD = "heard"
     DIGESTS = "digests"
@@ -21,28 +21,33 @@
 
 
 class RolloutTimes:
-    """Times of the version that is on its way."""
+    """Times of the version that is being rolled out."""
 
     def __init__(self, time: clock.Clock) -> None:
-        """Has seen no version."""
+        """Starts without a version."""
         self._clock = time
         self._wanted: version_digests.Wanted | None = None
         self._reached_ms: dict[Phase, float] = {}
 
-    def reached(self, wanted: version_digests.Wanted, phase: Phase) -> None:
-        """Records that a version has reached a step, the first time it does."""
+    def record_phase(
+        self, wanted: version_digests.Wanted, phase: Phase
+    ) -> None:
+        """Records the time at which a version first reaches a phase.
+
+        The recorded times of another version are discarded.
+        """
         if wanted != self._wanted:
             self._wanted = wanted
             self._reached_ms = {Phase.HEARD: self._clock.now_ms()}
         self._reached_ms.setdefault(phase, self._clock.now_ms())
 
-    def tell(self, age_ms: float | None, limit_ms: float | None) -> None:
-        """Logs the steps of the version that was loaded.
+    def log_rollout(self, age_ms: float | None, limit_ms: float | None) -> None:
+        """Logs the time of each phase, in ms since the version was heard of.
 
         Args:
-          age_ms: time since it was named, None if that is not known.
-          limit_ms: time in which the own link could have brought it and the
-            engine loaded it, None if that is not known.
+          age_ms: time since the version was named, None if unknown.
+          limit_ms: least time in which this VM's link can carry the version and
+            the engine can load it, None if unknown.
         """
         if self._wanted is None:
             return
--- a/src/marlramp/direct/weights/standstill.py
+++ b/src/marlramp/direct/weights/stall_monitor.py
@@ -1,4 +1,4 @@
-"""Says which pieces are missing while none arrives."""
+"""Logs which pieces are missing while none arrives."""
 
 from __future__ import annotations
 
@@ -6,29 +6,31 @@
 from marlramp import logs
 from marlramp.core import swarm
 
-STANDSTILL_MS = 1_000.0
+STALL_MS = 1_000.0
+"""Time without a new piece after which the missing pieces are logged."""
+
 LISTED_MAX = 8
-"""After this long without a piece a line lists up to so many missing ones,
-each with the number of neighbours that hold it."""
+"""Maximum number of missing pieces in a log line, each with the number of
+neighbours that hold it."""
 
 
-class Standstill:
-    """Watches one swarm at a time."""
+class StallMonitor:
+    """Detects that a swarm receives no pieces; monitors one swarm at a time."""
 
     def __init__(self, time: clock.Clock) -> None:
-        """Has seen nothing yet."""
+        """Starts without a swarm."""
         self._clock = time
         self._held = -1
         self._changed_ms = float("-inf")
 
     def check(self, current: swarm.Swarm) -> None:
-        """Logs what is missing if nothing arrived for a while."""
+        """Logs the missing pieces if none arrived within `STALL_MS`."""
         now_ms = self._clock.now_ms()
         if current.complete or len(current.held) != self._held:
             self._held = len(current.held)
             self._changed_ms = now_ms
             return
-        if now_ms - self._changed_ms < STANDSTILL_MS:
+        if now_ms - self._changed_ms < STALL_MS:
             return
         self._changed_ms = now_ms
         stuck = [
--- a/src/marlramp/direct/weights/version_digests.py
+++ b/src/marlramp/direct/weights/version_digests.py
@@ -1,4 +1,4 @@
-"""Learns the digests of versions, from the origin or from other agents."""
+"""Obtains the digests of versions from the origin or from other processes."""
 
 from __future__ import annotations
 
@@ -20,32 +20,44 @@
 from marlramp.protocol import messages
 
 POLL_MS = 100.0
-"""Between two rounds of asking other agents for digests that are missing."""
+"""Interval between requests to other agents for missing digests."""
 
-PEERS_ASKED = 8
-"""Agents asked in each round, drawn anew: one that knows is found within some
-rounds in a fleet of any size, and rounds cost the same in all of them."""
+PEERS_QUERIED = 8
+"""Agents that are picked at random and queried in each interval. An agent that
+knows the digests is found within a few intervals in a fleet of any size, at a
+cost that does not depend on the size."""
 
-RELAYS_ASKED = 2
-"""Relays asked in each round in place of agents, where there are any: they know
-soon after a version is named, and each answer has some kilobytes."""
+RELAYS_QUERIED = 2
+"""Relays that are queried in each interval instead of agents, if there are any.
+Relays know the digests soon after a version is named, and each reply has some
+kilobytes."""
 
-FIRST_ASKED = 2
-"""Of those that ask the origin first, so many are asked where all ask them."""
+FETCHERS_QUERIED = 2
+"""Number of processes to query, out of those that request the digests from the
+origin first, where all processes query them."""
 
-ASKED_MAX = 4
-"""Versions for which it is remembered who asked: the ones named lately."""
+PENDING_VERSIONS_MAX = 4
+"""Maximum number of versions with pending requests of other processes, as only
+versions that were named recently are requested."""
 
 
 class Origin(Protocol):
     """The origin of weights."""
 
     async def manifest(self, model: str, version: int) -> manifest.Manifest:
-        """Returns the digests of a version's pieces."""
+        """Returns the digests of a version's pieces.
+
+        Raises:
+          clients.PlatformError: the origin did not answer or refused.
+        """
         ...
 
     async def piece(self, model: str, version: int, index: int) -> bytes:
-        """Returns a piece, not verified."""
+        """Returns a piece, not verified.
+
+        Raises:
+          clients.PlatformError: the origin did not answer or refused.
+        """
         ...
 
 
@@ -57,12 +69,12 @@
 
     @property
     def name(self) -> str:
-        """Name that agents use among themselves."""
+        """Name of the version in messages between processes, as `model@7`."""
         return f"{self.model}@{self.version}"
 
 
 def parse_name(name: str) -> Wanted | None:
-    """Returns the version that a name among agents means, None if none."""
+    """Returns the version that a name denotes, None if the name is invalid."""
     model, _, version = name.rpartition("@")
     if not model or not version.isdecimal():
         return None
@@ -70,7 +82,12 @@
 
 
 class VersionDigests:
-    """Versions whose digests are known, with the pieces held of each."""
+    """Versions whose digests are known, with the pieces held of each.
+
+    Attributes:
+      origin: the origin, None while it is unknown.
+      chunk_sets: pieces held, by name of the version.
+    """
 
     def __init__(
         self,
@@ -81,99 +98,113 @@
         rng: random.Random | None = None,
         relays: Callable[[], Iterable[str]] = tuple,
         *,
-        asks_first: bool = False,
+        queries_fetchers: bool = False,
     ) -> None:
-        """Knows none.
+        """Starts without digests.
 
         Args:
-          own: this agent.
-          peers: names the other agents.
-          send: sends to one of them.
+          own: name of this process.
+          peers: function that returns the names of the other processes.
+          send: sends a message to a process; returns whether a link took it.
           time: the clock.
-          rng: draws whom to ask.
-          relays: names the relays that work.
-          asks_first: whether those that ask the origin first are asked first;
-            all ask them, so their links must bear it.
+          rng: random numbers that pick the processes to query.
+          relays: function that returns the names of the relays.
+          queries_fetchers: whether to query first the processes that request
+            the digests from the origin first. All processes query these, so
+            their links must carry the replies to all.
         """
         self._own = own
         self._peers = peers
         self._relays = relays
-        self._asks_first = asks_first
+        self._queries_fetchers = queries_fetchers
         self._send = send
         self._clock = time
         self._rng = rng or random.Random()
-        self._asked_by: dict[str, set[str]] = {}
-        self._news = asyncio.Event()
+        self._pending_requests: dict[str, set[str]] = {}
+        self._learned = asyncio.Event()
         self.origin: Origin | None = None
-        self.wholes: collections.OrderedDict[str, manifest.ChunkSet] = (
+        self.chunk_sets: collections.OrderedDict[str, manifest.ChunkSet] = (
             collections.OrderedDict()
         )
 
     async def find(self, wanted: Wanted) -> manifest.ChunkSet:
-        """Learns the digests of a version from the origin or neighbours."""
-        asks = origin_requests.OriginRequests(self._clock.now_ms(), self._rng)
-        asking: asyncio.Task[None] | None = None
+        """Returns the pieces of a version once its digests are known.
+
+        The digests come from the origin or from other processes.
+        """
+        origin_schedule = origin_requests.OriginRequests(
+            self._clock.now_ms(), self._rng
+        )
+        fetch: asyncio.Task[None] | None = None
         try:
-            if self._asks_first:
-                self._ask_each(wanted, self._ordered(wanted)[:FIRST_ASKED])
-            while wanted.name not in self.wholes:
-                if not self._asks_first or asks.overdue(self._clock.now_ms()):
-                    self._ask_peers(wanted)
-                if asking is not None and asking.done():
-                    await asking
-                    asking = None
-                if asking is None and self._is_due(wanted, asks):
-                    asking = asyncio.create_task(self._ask(wanted, asks))
-                await self._wait_news()
+            if self._queries_fetchers:
+                self._send_requests(
+                    wanted, self._fetch_order(wanted)[:FETCHERS_QUERIED]
+                )
+            while wanted.name not in self.chunk_sets:
+                if not self._queries_fetchers or origin_schedule.overdue(
+                    self._clock.now_ms()
+                ):
+                    self._query_peers(wanted)
+                if fetch is not None and fetch.done():
+                    await fetch
+                    fetch = None
+                if fetch is None and self._is_due(wanted, origin_schedule):
+                    fetch = asyncio.create_task(
+                        self._fetch_manifest(wanted, origin_schedule)
+                    )
+                await self._wait_learned()
         finally:
-            if asking is not None:
-                asking.cancel()
-        return self.wholes[wanted.name]
+            if fetch is not None:
+                fetch.cancel()
+        return self.chunk_sets[wanted.name]
 
     def on_request(self, name: str, request: messages.ManifestRequest) -> None:
-        """Answers another agent that asks for digests, once they are known."""
-        if request.manifest in self.wholes:
-            self._tell(name, request.manifest)
+        """Replies to a request for digests, at once or when they are known."""
+        if request.manifest in self.chunk_sets:
+            self._send_manifest(name, request.manifest)
             return
-        if len(self._asked_by) >= ASKED_MAX:
-            self._asked_by.clear()
-        self._asked_by.setdefault(request.manifest, set()).add(name)
+        if len(self._pending_requests) >= PENDING_VERSIONS_MAX:
+            self._pending_requests.clear()
+        self._pending_requests.setdefault(request.manifest, set()).add(name)
 
     def on_reply(self, reply: messages.ManifestReply) -> None:
-        """Takes digests from another agent."""
-        if not reply.data or reply.manifest in self.wholes:
+        """Adds the digests that another process sent."""
+        if not reply.data or reply.manifest in self.chunk_sets:
             return
         found = msgspec.json.decode(reply.data, type=manifest.Manifest)
         if Wanted(found.model, int(found.version)).name == reply.manifest:
-            self._take_manifest(reply.manifest, found)
+            self._add_manifest(reply.manifest, found)
 
-    def _ask_peers(self, wanted: Wanted) -> None:
-        """Asks some agents; each answers as soon as it knows."""
+    def _query_peers(self, wanted: Wanted) -> None:
+        """Requests digests from some processes, which reply once they know."""
         relays = list(self._relays())
-        count = RELAYS_ASKED if relays else PEERS_ASKED
+        count = RELAYS_QUERIED if relays else PEERS_QUERIED
         known = relays or list(self._peers())
-        self._ask_each(wanted, self._rng.sample(known, min(count, len(known))))
+        self._send_requests(
+            wanted, self._rng.sample(known, min(count, len(known)))
+        )
 
-    def _ask_each(self, wanted: Wanted, names: Iterable[str]) -> None:
+    def _send_requests(self, wanted: Wanted, names: Iterable[str]) -> None:
         request = messages.ManifestRequest(manifest=wanted.name)
         for name in names:
             if name != self._own:
                 self._send(name, request)
 
-    def _ordered(self, wanted: Wanted) -> list[str]:
-        """Returns who asks the origin, the first in front."""
+    def _fetch_order(self, wanted: Wanted) -> list[str]:
+        """Returns the order in which processes query the origin."""
         return rendezvous.order(wanted.name, {self._own, *self._peers()})
 
     def _is_due(
-        self, wanted: Wanted, asks: origin_requests.OriginRequests
+        self, wanted: Wanted, origin_schedule: origin_requests.OriginRequests
     ) -> bool:
         if self.origin is None:
             return False
-        rank = self._ordered(wanted).index(self._own)
-        return asks.due(rank, self._clock.now_ms())
+        rank = self._fetch_order(wanted).index(self._own)
+        return origin_schedule.due(rank, self._clock.now_ms())
 
-    async def _ask(
-        self, wanted: Wanted, asks: origin_requests.OriginRequests
+    async def _fetch_manifest(
+        self, wanted: Wanted, origin_schedule: origin_requests.OriginRequests
     ) -> None:
         if self.origin is None:
             return
@@ -182,31 +213,32 @@
         except clients.PlatformError as error:
             logs.log("manifest_unavailable", name=wanted.name, detail=error)
             agents = 1 + len(list(self._peers()))
-            asks.record_failure(agents, self._clock.now_ms())
+            origin_schedule.record_failure(agents, self._clock.now_ms())
             return
-        self._take_manifest(wanted.name, found)
+        self._add_manifest(wanted.name, found)
 
-    async def _wait_news(self) -> None:
-        self._news.clear()
+    async def _wait_learned(self) -> None:
+        self._learned.clear()
         try:
             async with asyncio.timeout(POLL_MS / clock.MILLIS_PER_SECOND):
-                await self._news.wait()
+                await self._learned.wait()
         except TimeoutError:
             pass
 
-    def _take_manifest(self, name: str, found: manifest.Manifest) -> None:
-        if name in self.wholes:
+    def _add_manifest(self, name: str, found: manifest.Manifest) -> None:
+        if name in self.chunk_sets:
             return
-        whole = manifest.ChunkSet(found, manifest.sha256_of)
+        chunk_set = manifest.ChunkSet(found, manifest.sha256_of)
         kept = sum(
-            whole.copy_common_chunks(other) for other in self.wholes.values()
+            chunk_set.copy_common_chunks(other)
+            for other in self.chunk_sets.values()
         )
-        self.wholes[name] = whole
-        self._news.set()
+        self.chunk_sets[name] = chunk_set
+        self._learned.set()
         logs.log("manifest_known", name=name, pieces_kept=kept)
-        for peer in self._asked_by.pop(name, ()):
-            self._tell(peer, name)
+        for peer in self._pending_requests.pop(name, ()):
+            self._send_manifest(peer, name)
 
-    def _tell(self, peer: str, name: str) -> None:
-        data = manifest.encode(self.wholes[name].manifest)
+    def _send_manifest(self, peer: str, name: str) -> None:
+        data = manifest.encode(self.chunk_sets[name].manifest)
         self._send(peer, messages.ManifestReply(manifest=name, data=data))
--- a/src/marlramp/direct/weights/weights_loader.py
+++ b/src/marlramp/direct/weights/weights_loader.py
@@ -1,8 +1,8 @@
-"""Brings the named weights into the engine on this VM.
+"""Loads the named weights into the engine on this VM.
 
-Pieces are fetched, staged beside the engine as they arrive, read back and
-verified right before the order: what is staged may have rotted, and an engine
-loads whatever lies there.
+Pieces are fetched, staged beside the engine as they arrive, and read back and
+verified right before the load order: staged pieces may have become corrupt, and
+an engine loads them without a check.
 """
 
 from __future__ import annotations
@@ -25,26 +25,31 @@
 from marlramp.platform import clients
 
 POLL_MS = 100.0
-"""Between two looks at the engine and at what is named."""
+"""Interval between checks of the engine and of the named version."""
 
 LOAD_POLL_MS = 25.0
-"""Between two looks while the engine loads: each is free on the own VM."""
+"""Interval between checks while the engine loads; a check of the engine on the
+own VM costs nothing."""
 
 LOAD_TIMEOUT_MS = 6_000.0
-"""Longest wait for an ordered load: what runs ends within the callers' time."""
+"""Maximum time to wait for an ordered load; running requests end within the
+timeout of their callers."""
 
 CLOSE_NOTICE_MS = 30.0
-"""Between telling the entries that the engine closes and the order: five
-times the way to them."""
+"""Minimum time between the report to the entries that the engine closes and the
+load order: five times the path latency to the entries."""
 
 STAGE_PARALLEL = 4
-"""Pieces staged or read back at once."""
+"""Pieces that are staged or read back at once."""
 
-VERIFIED_FRESH_MS = 1_000.0
-"""Staged pieces that were read back this lately need not be read again before
-the order: reading 64 of them takes 0.06 s of an engine's outage."""
+VERIFIED_MAX_AGE_MS = 1_000.0
+"""Maximum age of a verification of the staged pieces, after which they are read
+back again before the load order. Reading 64 pieces adds 0.06 s to an engine's
+outage."""
 
 RETRY_MS = 200.0
+"""Delay before a retry after an error of the platform."""
+
 _MS = clock.MILLIS_PER_SECOND
 
 
@@ -66,16 +71,24 @@
     async def load(
         self, model: str, version: int, order_number: int, *, cut: bool
     ) -> None:
-        """Orders the engine to load what is staged; may cut what runs.
+        """Orders the engine to load the staged pieces.
 
-        The order is refused if the engine has not accepted exactly
-        `order_number` orders so far, as after a restart.
+        Args:
+          model: the model.
+          version: the version that is staged.
+          order_number: number of orders that the engine has accepted so far.
+          cut: whether running requests may be cut off.
+
+        Raises:
+          clients.OrderRefusedError: the engine has accepted another number of
+            orders than `order_number`, for example because it restarted.
+          clients.PlatformError: the engine did not answer.
         """
         ...
 
 
 class LoaderState(enum.Enum):
-    """What the loader does."""
+    """State of the loader."""
 
     IDLE = "idle"
     FETCHING = "fetching"
@@ -84,34 +97,44 @@
 
 
 class Surroundings(Protocol):
-    """What the loader asks the agent that it belongs to."""
+    """What the loader queries from the agent that it belongs to."""
 
     def wanted(self) -> version_digests.Wanted | None:
-        """Returns the weights to serve, None if they are not known."""
+        """Returns the version to serve, None if it is unknown."""
         ...
 
     def report(self) -> engine_state.EngineReport | None:
-        """Returns the engine's last report, None while it is away."""
+        """Returns the engine's last report, None while it is unavailable."""
         ...
 
     async def read_report(self) -> engine_state.EngineReport | None:
-        """Reads a fresh report from the engine."""
+        """Reads a new report from the engine, None if it is unavailable."""
         ...
 
     def begins_ms(
         self, wanted: version_digests.Wanted, there_ms: float
     ) -> float:
-        """Returns when the engine may load pieces that are there then."""
+        """Returns the time from which on the engine may load a version.
+
+        Args:
+          wanted: the version.
+          there_ms: time at which all its pieces were held.
+        """
         ...
 
     def drain_ms(
         self, wanted: version_digests.Wanted, there_ms: float
     ) -> float:
-        """Returns how long what runs may go on before it is cut."""
+        """Returns how many ms running requests may go on before the load.
+
+        Args:
+          wanted: the version.
+          there_ms: time at which all its pieces were held.
+        """
         ...
 
     def may_cut(self) -> bool:
-        """Returns whether streams that are cut go on at another engine."""
+        """Returns whether streams that are cut continue on another engine."""
         ...
 
     def is_new(self, wanted: version_digests.Wanted) -> bool:
@@ -119,16 +142,24 @@
         ...
 
     def age_ms(self, wanted: version_digests.Wanted) -> float | None:
-        """Returns the time since a version was named, None if not known."""
+        """Returns the time in ms since a version was named, None if unknown."""
         ...
 
     def limit_ms(self) -> float | None:
-        """Returns the least time in which a version can be loaded here."""
+        """Returns the least time in ms in which this VM can load a version.
+
+        Returns:
+          None if the time is unknown.
+        """
         ...
 
 
 class WeightsLoader:
-    """Keeps the engine on this VM at the named weights."""
+    """Keeps the engine on this VM at the named version.
+
+    Attributes:
+      state: what the loader is doing.
+    """
 
     def __init__(
         self,
@@ -139,7 +170,16 @@
         totals: counters.Counters,
         time: clock.Clock,
     ) -> None:
-        """Does nothing before `run`; calls `state_changed` on each change."""
+        """Starts idle; `run` starts the work.
+
+        Args:
+          surroundings: the agent that the loader belongs to.
+          engine: the engine on this VM.
+          exchange: fetches the pieces.
+          state_changed: called after each change of `state`.
+          totals: counters.
+          time: the clock.
+        """
         self._surroundings = surroundings
         self._engine = engine
         self._exchange = exchange
@@ -147,22 +187,26 @@
         self._totals = totals
         self._clock = time
         self._staged: set[int] = set()
-        self._staged_of: version_digests.Wanted | None = None
+        self._staged_version: version_digests.Wanted | None = None
         self._staged_born_ms: int | None = None
         self._verified_ms = float("-inf")
         self._times = rollout_times.RolloutTimes(time)
-        self._there_ms: dict[version_digests.Wanted, float] = {}
+        self._complete_ms: dict[version_digests.Wanted, float] = {}
         self.state = LoaderState.IDLE
 
     def there_ms(self, wanted: version_digests.Wanted) -> float | None:
-        """Returns when all pieces of a version were there, None before."""
-        return self._there_ms.get(wanted)
+        """Returns the time at which all pieces of a version were held first.
+
+        Returns:
+          The time in ms, None while pieces are missing.
+        """
+        return self._complete_ms.get(wanted)
 
     async def run(self) -> None:
-        """Follows the named weights for ever."""
-        # Also after an error: the engine must not stay closed for a load that
-        # nobody carries out any more.
-        self._staged_of = None
+        """Follows the named version until cancelled."""
+        # This resets the state after an error too: the engine must not stay
+        # closed for a load that will not happen.
+        self._staged_version = None
         self._set_state(LoaderState.IDLE)
         while True:
             wanted = self._surroundings.wanted()
@@ -173,89 +217,93 @@
                 await self._step(wanted)
             except clients.PlatformError as error:
                 logs.log("weights_step_failed", name=wanted.name, detail=error)
-                self._staged_of = None
+                self._staged_version = None
                 self._set_state(LoaderState.IDLE)
                 await asyncio.sleep(RETRY_MS / _MS)
 
     async def _step(self, wanted: version_digests.Wanted) -> None:
-        self._times.reached(wanted, rollout_times.Phase.HEARD)
-        whole = await self._exchange.find_manifest(wanted)
-        self._times.reached(wanted, rollout_times.Phase.DIGESTS)
-        if whole.held:
-            self._times.reached(wanted, rollout_times.Phase.FIRST_PIECE)
-        # Also while the engine starts: its weights travel meanwhile.
+        self._times.record_phase(wanted, rollout_times.Phase.HEARD)
+        chunk_set = await self._exchange.find_manifest(wanted)
+        self._times.record_phase(wanted, rollout_times.Phase.DIGESTS)
+        if chunk_set.held:
+            self._times.record_phase(wanted, rollout_times.Phase.FIRST_PIECE)
+        # Pieces are fetched while the engine starts, too.
         self._exchange.want(wanted, is_new=self._surroundings.is_new(wanted))
         report = self._surroundings.report()
         if report is None:
-            self._staged_of = None
+            self._staged_version = None
             await asyncio.sleep(POLL_MS / _MS)
             return
         if report.leaving:
-            # What is staged or loaded there is lost with it.
+            # Pieces that are staged at a leaving engine, and weights that it
+            # loads, are lost with it.
             self._set_state(LoaderState.IDLE)
             await asyncio.sleep(POLL_MS / _MS)
             return
-        if self._staged_of != wanted or self._staged_born_ms != report.born_ms:
-            await self._adopt_staged(wanted, whole)
+        if (
+            self._staged_version != wanted
+            or self._staged_born_ms != report.born_ms
+        ):
+            await self._adopt_staged(wanted, chunk_set)
             self._staged_born_ms = report.born_ms
-        if whole.complete and report.weights == wanted.version:
+        if chunk_set.complete and report.weights == wanted.version:
             self._set_state(LoaderState.IDLE)
             await asyncio.sleep(POLL_MS / _MS)
             return
-        if not whole.complete:
+        if not chunk_set.complete:
             self._set_state(LoaderState.FETCHING)
-            await self._stage_new(wanted, whole)
+            await self._stage_new(wanted, chunk_set)
             await self._wait_changed()
             return
-        await self._stage_new(wanted, whole)
-        self._times.reached(wanted, rollout_times.Phase.WHOLE)
-        if wanted not in self._there_ms:
-            self._there_ms = {wanted: self._clock.now_ms()}
+        await self._stage_new(wanted, chunk_set)
+        self._times.record_phase(wanted, rollout_times.Phase.WHOLE)
+        if wanted not in self._complete_ms:
+            self._complete_ms = {wanted: self._clock.now_ms()}
         if self._may_load(wanted, report):
-            await self._load(wanted, whole, serving=report.weights > 0)
+            await self._load(wanted, chunk_set, serving=report.weights > 0)
             return
         self._set_state(LoaderState.WAITING)
         await asyncio.sleep(LOAD_POLL_MS / _MS)
 
     async def _adopt_staged(
-        self, wanted: version_digests.Wanted, whole: manifest.ChunkSet
+        self, wanted: version_digests.Wanted, chunk_set: manifest.ChunkSet
     ) -> None:
-        """Takes over what is staged already and right."""
+        """Adopts the staged pieces whose digests match."""
         self._staged = set()
         self._verified_ms = float("-inf")
         for index in await self._engine.staged(wanted.model):
             data = await self._engine.read_staged(wanted.model, index)
-            if 0 <= index < len(whole.manifest.chunks) and whole.matches(
-                index, data
-            ):
+            if 0 <= index < len(
+                chunk_set.manifest.chunks
+            ) and chunk_set.matches(index, data):
                 self._staged.add(index)
                 self._exchange.add(wanted, index, data)
-        self._staged_of = wanted
-        if len(self._staged) == len(whole.manifest.chunks):
+        self._staged_version = wanted
+        if len(self._staged) == len(chunk_set.manifest.chunks):
             self._verified_ms = self._clock.now_ms()
         logs.log(
             "staged_found",
             name=wanted.name,
             pieces=len(self._staged),
-            held=len(whole.held),
+            held=len(chunk_set.held),
         )
 
     async def _stage_new(
-        self, wanted: version_digests.Wanted, whole: manifest.ChunkSet
+        self, wanted: version_digests.Wanted, chunk_set: manifest.ChunkSet
     ) -> None:
-        """Stages what is held and not staged yet."""
-        missing = sorted(whole.held - self._staged)
+        """Stages the pieces that are held and not staged yet."""
+        missing = sorted(chunk_set.held - self._staged)
         limit = asyncio.Semaphore(STAGE_PARALLEL)
 
         async def stage(index: int) -> None:
-            data = whole.get(index)
+            data = chunk_set.get(index)
             if data is None:
                 return
             async with limit:
                 await self._engine.stage(wanted.model, index, data)
             self._staged.add(index)
 
-        await _all(stage(index) for index in missing)
+        await _run_all(stage(index) for index in missing)
 
     async def _wait_changed(self) -> None:
         self._exchange.changed.clear()
@@ -270,35 +318,36 @@
         wanted: version_digests.Wanted,
         report: engine_state.EngineReport,
     ) -> bool:
-        """Returns whether it is this engine's turn."""
+        """Returns whether this engine may load now."""
         if report.busy:
             return False
         if report.weights == 0:
             return True
-        there_ms = self._there_ms[wanted]
+        there_ms = self._complete_ms[wanted]
         begins_ms = self._surroundings.begins_ms(wanted, there_ms)
         return self._clock.now_ms() >= begins_ms
 
     async def _load(
         self,
         wanted: version_digests.Wanted,
-        whole: manifest.ChunkSet,
+        chunk_set: manifest.ChunkSet,
         *,
         serving: bool,
     ) -> None:
-        """Verifies what is staged and orders the load.
+        """Verifies the staged pieces and orders the load.
 
         Args:
           wanted: the version.
-          whole: its pieces.
-          serving: whether the engine serves another version until then.
+          chunk_set: its pieces.
+          serving: whether the engine serves another version, so that running
+            requests are given time to end.
         """
-        await self._mend_staged(wanted, whole)
+        await self._repair_staged(wanted, chunk_set)
         if self._surroundings.wanted() != wanted:
             return
         self._set_state(LoaderState.LOADING)
         if serving:
-            there_ms = self._there_ms[wanted]
+            there_ms = self._complete_ms[wanted]
             await self._drain(self._surroundings.drain_ms(wanted, there_ms))
         report = await self._surroundings.read_report()
         if report is None or report.born_ms != self._staged_born_ms:
@@ -306,7 +355,7 @@
             return
         self._totals.add(counters.CounterName.ENGINE_ORDERS, "load")
         logs.log("load_ordered", name=wanted.name)
-        self._times.reached(wanted, rollout_times.Phase.ORDERED)
+        self._times.record_phase(wanted, rollout_times.Phase.ORDERED)
         started_ms = self._clock.now_ms()
         try:
             await self._engine.load(
@@ -321,7 +370,8 @@
             await asyncio.sleep(LOAD_POLL_MS / _MS)
             return
         except clients.PlatformError as error:
-            # Without an answer it may have been accepted: the reports tell.
+            # The engine may have accepted the order without an answer; its
+            # reports show whether it did.
             logs.log("load_unanswered", name=wanted.name, detail=error)
         loaded = await self._wait_loaded(wanted)
         logs.log(
@@ -331,15 +381,15 @@
             taken_ms=round(self._clock.now_ms() - started_ms),
         )
         if loaded:
-            self._times.reached(wanted, rollout_times.Phase.LOADED)
-            self._times.tell(
+            self._times.record_phase(wanted, rollout_times.Phase.LOADED)
+            self._times.log_rollout(
                 self._surroundings.age_ms(wanted),
                 self._surroundings.limit_ms(),
             )
         self._set_state(LoaderState.IDLE)
 
     async def _drain(self, drain_ms: float) -> None:
-        """Gives what runs some time to end."""
+        """Waits until no request runs or waits, for at most `drain_ms`."""
         end_ms = self._clock.now_ms() + drain_ms
         await asyncio.sleep(CLOSE_NOTICE_MS / _MS)
         while self._clock.now_ms() < end_ms:
@@ -348,25 +398,25 @@
                 return
             await asyncio.sleep(LOAD_POLL_MS / _MS)
 
-    async def _mend_staged(
-        self, wanted: version_digests.Wanted, whole: manifest.ChunkSet
+    async def _repair_staged(
+        self, wanted: version_digests.Wanted, chunk_set: manifest.ChunkSet
     ) -> None:
-        """Reads back every staged piece and replaces what is wrong."""
-        if self._clock.now_ms() - self._verified_ms < VERIFIED_FRESH_MS:
+        """Reads back every staged piece and replaces corrupt ones."""
+        if self._clock.now_ms() - self._verified_ms < VERIFIED_MAX_AGE_MS:
             return
         limit = asyncio.Semaphore(STAGE_PARALLEL)
 
-        async def mend(index: int) -> None:
+        async def repair(index: int) -> None:
             async with limit:
                 data = await self._engine.read_staged(wanted.model, index)
-                held = whole.get(index)
-                if held is None or whole.matches(index, data):
+                held = chunk_set.get(index)
+                if held is None or chunk_set.matches(index, data):
                     return
                 logs.log("staged_piece_mended", name=wanted.name, index=index)
                 self._totals.add(counters.CounterName.CHUNKS_REJECTED, "staged")
                 await self._engine.stage(wanted.model, index, held)
 
-        await _all(mend(i) for i in range(len(whole.manifest.chunks)))
+        await _run_all(repair(i) for i in range(len(chunk_set.manifest.chunks)))
 
     async def _wait_loaded(self, wanted: version_digests.Wanted) -> bool:
         end_ms = self._clock.now_ms() + LOAD_TIMEOUT_MS
@@ -385,8 +435,12 @@
             self._state_changed()
 
 
-async def _all(work: Iterable[Coroutine[None, None, None]]) -> None:
-    """Runs coroutines together; the first failure ends them all."""
+async def _run_all(work: Iterable[Coroutine[None, None, None]]) -> None:
+    """Runs coroutines concurrently; the first failure cancels all others.
+
+    Raises:
+      clients.PlatformError: the first failure.
+    """
     try:
         async with asyncio.TaskGroup() as group:
             for coroutine in work:
--- a/tests/direct/weights/test_piece_ticks.py
+++ b/tests/direct/weights/test_check_loop.py
@@ -28,7 +28,7 @@
 
 
 class Origin:
-    """Tells the digests at once."""
+    """Returns the digests at once."""
 
     async def manifest(self, model: str, version: int) -> manifest.Manifest:
         return FOUND
@@ -59,23 +59,23 @@
     return found
 
 
-def test_agent_that_wants_nothing_seldom_looks(
+def test_idle_agent_checks_seldom(
     time: clock.ManualClock,
 ) -> None:
     idle = piece_exchange.PieceExchange(
         agent("vm-1"), 1e6, counters.Counters(), time
     )
-    assert idle._wait_ms == piece_exchange.SETTLED_TICK_MS
+    assert idle._wait_ms == piece_exchange.IDLE_TICK_MS
 
 
-def test_agent_looks_often_until_it_holds_all_pieces(
+def test_agent_checks_often_until_it_holds_all_pieces(
     exchange: piece_exchange.PieceExchange,
 ) -> None:
     assert exchange._wait_ms == piece_exchange.TICK_MS
     for index, piece in enumerate(PIECES):
         assert exchange._wait_ms == piece_exchange.TICK_MS
         exchange.add(WANTED, index, piece)
-    assert exchange._wait_ms == piece_exchange.SETTLED_TICK_MS
+    assert exchange._wait_ms == piece_exchange.IDLE_TICK_MS
 
 
 def test_neighbour_that_lacks_pieces_ends_the_wait(
--- a/tests/direct/weights/test_manifest_herd.py
+++ b/tests/direct/weights/test_manifest_herd.py
@@ -1,11 +1,12 @@
-"""All agents lack the digests of a version at the same moment.
-
-After a loss of all power no engine ever loaded its weights again. Each of 51
-agents asked the origin for the digests five times a second, on a connection of
-its own, and the origin reset what was beyond its bound; links between agents
-were opened only once the digests were known, so that nobody could hear them
-from another. "manifest_unavailable detail=reset" came 250 times in the first
-two seconds and 490 times in each two seconds from then on.
+"""Tests that a fleet learns the digests of a version without a thundering herd.
+
+After a total loss of power, no engine ever loaded its weights again. Each of 51
+agents requested the digests from the origin five times a second, on a
+connection of its own, and the origin reset the connections beyond its limit.
+Links between agents were opened only once the digests were known, so that no
+agent could receive them from another. "manifest_unavailable detail=reset" was
+logged 250 times in the first two seconds and 490 times in every two seconds
+after that.
 """
 
 from __future__ import annotations
@@ -26,8 +27,9 @@
 from marlramp.platform import clients
 
 AGENTS = 51
-ASKS_PER_S_MAX = 40
-"""The origin takes no more; what comes beyond it costs it as much."""
+REQUESTS_PER_S_MAX = 40
+"""Requests a second that the origin answers; it resets further ones, each at the
+same cost."""
 
 WANTED = version_digests.Wanted("m", 2)
 FOUND = manifest.Manifest(
@@ -41,34 +43,36 @@
 
 
 class BoundedOrigin:
-    """Resets every call while more came in the last second than it bears."""
+    """Resets each request while more than the limit came in the last second."""
 
     def __init__(self, down_s: float = 0.0) -> None:
-        """Is down for `down_s` seconds first."""
+        """Is unavailable for the first `down_s` seconds."""
         loop = asyncio.get_running_loop()
         self._time = loop.time
         self._up_s = loop.time() + down_s
-        self._asked: collections.deque[float] = collections.deque()
+        self._request_times: collections.deque[float] = collections.deque()
         self.most_in_a_second = 0
 
     async def manifest(self, model: str, version: int) -> manifest.Manifest:
         now_s = self._time()
-        self._asked.append(now_s)
-        while now_s - self._asked[0] > 1.0:
-            self._asked.popleft()
+        self._request_times.append(now_s)
+        while now_s - self._request_times[0] > 1.0:
+            self._request_times.popleft()
         if now_s > self._up_s - 1.0:
-            self.most_in_a_second = max(self.most_in_a_second, len(self._asked))
+            self.most_in_a_second = max(
+                self.most_in_a_second, len(self._request_times)
+            )
         await asyncio.sleep(0.01)
-        if now_s < self._up_s or len(self._asked) > ASKS_PER_S_MAX:
+        if now_s < self._up_s or len(self._request_times) > REQUESTS_PER_S_MAX:
             raise clients.PlatformError("reset")
         return FOUND
 
     async def piece(self, model: str, version: int, index: int) -> bytes:
-        raise clients.PlatformError("not asked for here")
+        raise clients.PlatformError("the test requests no pieces")
 
 
 class Links:
-    """Links in memory: only those that were opened carry messages."""
+    """Links in memory; only open ones carry messages."""
 
     def __init__(self, name: str, all_links: dict[str, Links]) -> None:
         self._name = name
@@ -131,19 +135,19 @@
         await asyncio.gather(*[a.find_manifest(WANTED) for a in agents])
 
 
-def test_all_learn_the_digests_from_an_origin_that_bears_few_calls() -> None:
+def test_all_learn_the_digests_without_overloading_the_origin() -> None:
     async def main() -> None:
         origin = BoundedOrigin()
         await learn_all(origin, 3.0)
-        assert origin.most_in_a_second <= ASKS_PER_S_MAX
+        assert origin.most_in_a_second <= REQUESTS_PER_S_MAX
 
     asyncio.run(main())
 
 
-def test_all_learn_the_digests_soon_after_the_origin_is_back() -> None:
+def test_all_learn_the_digests_soon_after_the_origin_recovers() -> None:
     async def main() -> None:
         origin = BoundedOrigin(down_s=4.0)
         await learn_all(origin, 6.0)
-        assert origin.most_in_a_second <= ASKS_PER_S_MAX
+        assert origin.most_in_a_second <= REQUESTS_PER_S_MAX
 
     asyncio.run(main())
--- a/tests/direct/weights/test_piece_downloads.py
+++ b/tests/direct/weights/test_piece_downloads.py
@@ -11,11 +11,11 @@
 from marlramp.protocol import fleet_messages
 
 PIECE = bytes(range(256)) * 32
-"""Two fragments."""
+"""A piece of two fragments."""
 
 
-class Asked:
-    """Keeps what was asked for."""
+class RecordedRequests:
+    """Records the requests."""
 
     def __init__(self) -> None:
         self.requests: list[tuple[str, fleet_messages.FragmentRequest]] = []
@@ -34,43 +34,45 @@
 
 
 @pytest.fixture
-def asked() -> Asked:
-    return Asked()
+def recorded() -> RecordedRequests:
+    return RecordedRequests()
 
 
-async def started(asked: Asked) -> piece_downloads.PieceDownloads:
+async def started(recorded: RecordedRequests) -> piece_downloads.PieceDownloads:
     downloads = piece_downloads.PieceDownloads(
-        asked.send, 1e9, clock.SystemClock()
+        recorded.send, 1e9, clock.SystemClock()
     )
     version = piece_downloads.Version("m@2", lambda _: len(PIECE))
-    downloads.fetch(version)
+    downloads.set_version(version)
     downloads.start(3, "vm-1")
     await asyncio.sleep(0.02)
     return downloads
 
 
-def test_fragments_are_joined_in_order(asked: Asked) -> None:
+def test_fragments_are_joined_in_order(recorded: RecordedRequests) -> None:
     async def main() -> None:
-        downloads = await started(asked)
+        downloads = await started(recorded)
         second = piece_uploads.FRAGMENT_BYTES
-        assert downloads.take(fragment(0)) is None
-        # A fragment that comes twice is not joined twice.
-        assert downloads.take(fragment(0)) is None
-        assert downloads.take(fragment(second)) == PIECE
-        assert [r.offset for _, r in asked.requests] == [0]
-        assert not downloads.awaits("vm-1", fragment(second))
+        assert downloads.add_fragment(fragment(0)) is None
+        # A duplicate fragment is not added again.
+        assert downloads.add_fragment(fragment(0)) is None
+        assert downloads.add_fragment(fragment(second)) == PIECE
+        assert [r.offset for _, r in recorded.requests] == [0]
+        assert not downloads.expects("vm-1", fragment(second))
 
     asyncio.run(main())
 
 
-def test_fragments_of_others_are_not_awaited(asked: Asked) -> None:
+def test_fragments_of_others_are_not_expected(
+    recorded: RecordedRequests,
+) -> None:
     async def main() -> None:
-        downloads = await started(asked)
-        assert downloads.awaits("vm-1", fragment(0))
-        assert not downloads.awaits("vm-2", fragment(0))
+        downloads = await started(recorded)
+        assert downloads.expects("vm-1", fragment(0))
+        assert not downloads.expects("vm-2", fragment(0))
         other = msgspec.structs.replace(fragment(0), manifest="m@1")
-        assert not downloads.awaits("vm-1", other)
+        assert not downloads.expects("vm-1", other)
         downloads.drop_peer("vm-1")
-        assert not downloads.awaits("vm-1", fragment(0))
+        assert not downloads.expects("vm-1", fragment(0))
 
     asyncio.run(main())
--- a/tests/direct/weights/test_piece_relay.py
+++ b/tests/direct/weights/test_piece_relay.py
@@ -1,4 +1,4 @@
-"""An entry that holds pieces for agents, before a scripted fleet."""
+"""Tests an entry that relays pieces, in a scripted fleet."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from marlramp.protocol import messages
 
 PIECES = [bytes([n]) * 64 for n in range(8)]
-MATES = [f"mate-{number}" for number in range(1, 5)]
+OTHERS = [f"mate-{number}" for number in range(1, 5)]
 NEWEST = version_digests.Wanted("m", 2)
 FIRST = version_digests.Wanted("m", 1)
 FOUND = manifest.Manifest(
@@ -36,42 +36,44 @@
 
 
 class Origin:
-    """Counts what is drawn; may send wrong bytes first."""
+    """Records the fetched pieces; the first `corrupt_count` are corrupt."""
 
     def __init__(self) -> None:
-        self.drawn: list[int] = []
-        self.wrong = 0
+        self.fetched: list[int] = []
+        self.corrupt_count = 0
 
     async def manifest(self, model: str, version: int) -> manifest.Manifest:
         return msgspec.structs.replace(FOUND, version=str(version))
 
     async def piece(self, model: str, version: int, index: int) -> bytes:
-        self.drawn.append(index)
-        if self.wrong > 0:
-            self.wrong -= 1
+        self.fetched.append(index)
+        if self.corrupt_count > 0:
+            self.corrupt_count -= 1
             return b"wrong"
         return PIECES[index]
 
 
-class AwayOrigin(Origin):
-    """Counts what is asked for, and can't be reached."""
+class UnreachableOrigin(Origin):
+    """Records the requested pieces and is unreachable."""
 
     async def piece(self, model: str, version: int, index: int) -> bytes:
-        self.drawn.append(index)
-        raise clients.UnreachedError("the origin is away")
+        self.fetched.append(index)
+        raise clients.UnreachedError("the origin is unreachable")
 
 
 class Entry:
-    """The entry alone in its region; keeps what the relay sends."""
+    """A single entry in its region; records the messages of the relay."""
 
     def __init__(self, piece_ms: float = 1.0) -> None:
         self.named = [NEWEST]
         self.origin_piece_ms = piece_ms
-        self.here = {"own": relay_assignment.Location("north", "north/0")}
+        self.entry_locations = {
+            "own": relay_assignment.Location("north", "north/0")
+        }
         self.sent: list[tuple[str, msgspec.Struct]] = []
 
     def places(self) -> dict[str, relay_assignment.Location]:
-        return self.here
+        return self.entry_locations
 
     def wanted(self) -> list[version_digests.Wanted]:
         return self.named
@@ -89,8 +91,8 @@
         self.sent.append((name, message))
         return True
 
-    def told(self, name: str) -> set[int]:
-        """Returns the pieces that a process was told of."""
+    def announced(self, name: str) -> set[int]:
+        """Returns the pieces that were announced to a process."""
         found: set[int] = set()
         for to, message in self.sent:
             if to != name:
@@ -112,7 +114,7 @@
     )
 
 
-def play(
+def run_relay(
     entry: Entry,
     origin: Origin,
     act: Callable[[piece_relay.PieceRelay], Awaitable[None]],
@@ -136,61 +138,61 @@
             await asyncio.sleep(0.01)
 
 
-def test_named_version_is_drawn_once_and_told_as_it_comes() -> None:
+def test_named_version_is_fetched_once_and_announced() -> None:
     entry, origin = Entry(), Origin()
 
     async def act(relay: piece_relay.PieceRelay) -> None:
         relay.on_message("vm-1", hello(NEWEST))
-        await until(lambda: entry.told("vm-1") == set(range(8)))
+        await until(lambda: entry.announced("vm-1") == set(range(8)))
 
-    play(entry, origin, act)
-    assert sorted(origin.drawn) == list(range(8))
+    run_relay(entry, origin, act)
+    assert sorted(origin.fetched) == list(range(8))
 
 
-def test_pieces_in_common_with_an_older_version_are_told_undrawn() -> None:
+def test_pieces_in_common_with_an_older_version_are_not_fetched_again() -> None:
     entry, origin = Entry(), Origin()
 
     async def act(relay: piece_relay.PieceRelay) -> None:
-        await until(lambda: len(origin.drawn) == 8)
+        await until(lambda: len(origin.fetched) == 8)
         relay.on_message("vm-1", hello(FIRST))
-        await until(lambda: entry.told("vm-1") == set(range(8)))
+        await until(lambda: entry.announced("vm-1") == set(range(8)))
 
-    play(entry, origin, act)
-    assert len(origin.drawn) == 8
+    run_relay(entry, origin, act)
+    assert len(origin.fetched) == 8
 
 
-def test_version_that_another_entry_heard_of_first_is_fetched() -> None:
+def test_newer_version_that_is_requested_is_fetched() -> None:
     entry, origin = Entry(), Origin()
     entry.named = [FIRST]
 
     async def act(relay: piece_relay.PieceRelay) -> None:
         relay.on_message("vm-1", hello(NEWEST))
-        await until(lambda: entry.told("vm-1") == set(range(8)))
+        await until(lambda: entry.announced("vm-1") == set(range(8)))
 
-    play(entry, origin, act)
+    run_relay(entry, origin, act)
 
 
-def test_version_of_a_model_that_nobody_runs_is_not_fetched() -> None:
+def test_version_of_an_unknown_model_is_not_fetched() -> None:
     entry, origin = Entry(), Origin()
 
     async def act(relay: piece_relay.PieceRelay) -> None:
-        await until(lambda: len(origin.drawn) == 8)
+        await until(lambda: len(origin.fetched) == 8)
         for name in ("other@1", "nothing", "m@x"):
-            wrong = msgspec.structs.replace(hello(NEWEST), manifest=name)
-            relay.on_message("vm-1", wrong)
+            unknown = msgspec.structs.replace(hello(NEWEST), manifest=name)
+            relay.on_message("vm-1", unknown)
         await asyncio.sleep(0.1)
 
-    play(entry, origin, act)
-    assert len(origin.drawn) == 8
-    assert entry.told("vm-1") == set()
+    run_relay(entry, origin, act)
+    assert len(origin.fetched) == 8
+    assert entry.announced("vm-1") == set()
 
 
-def test_newest_version_is_kept_whatever_agents_ask_for() -> None:
+def test_newest_version_is_kept_whatever_agents_request() -> None:
     entry, origin = Entry(), Origin()
     entry.named = [version_digests.Wanted("m", 9)]
 
     async def act(relay: piece_relay.PieceRelay) -> None:
-        await until(lambda: len(origin.drawn) == 8)
+        await until(lambda: len(origin.fetched) == 8)
         for version in range(1, 9):
             relay.on_message(
                 "vm-1", hello(version_digests.Wanted("m", version))
@@ -198,46 +200,53 @@
         await asyncio.sleep(0.05)
         entry.sent.clear()
         relay.on_message("vm-1", hello(entry.named[0]))
-        assert entry.told("vm-1") == set(range(8))
+        assert entry.announced("vm-1") == set(range(8))
 
-    play(entry, origin, act)
+    run_relay(entry, origin, act)
 
 
-def test_wrong_bytes_of_the_origin_are_drawn_again_and_told_to_nobody() -> None:
+def test_corrupt_bytes_of_the_origin_are_fetched_again() -> None:
     entry, origin = Entry(), Origin()
-    origin.wrong = 3
+    origin.corrupt_count = 3
 
     async def act(relay: piece_relay.PieceRelay) -> None:
         relay.on_message("vm-1", hello(NEWEST))
-        await until(lambda: entry.told("vm-1") == set(range(8)))
+        await until(lambda: entry.announced("vm-1") == set(range(8)))
 
-    play(entry, origin, act)
-    assert len(origin.drawn) == 11
+    run_relay(entry, origin, act)
+    assert len(origin.fetched) == 11
 
 
-def test_only_pieces_that_nobody_holds_take_turns() -> None:
-    """All eight in turn would be looked for each 0.8 s, four times in 2 s."""
-    entry, origin = Entry(piece_ms=100.0), AwayOrigin()
-    entry.here = {name: entry.here["own"] for name in ("own", *MATES)}
-    assignments = relay_assignment.assignments("own", entry.here, FOUND.chunks)
+def test_only_pieces_that_no_process_holds_are_retried_in_rotation() -> None:
+    """In a rotation of all eight, each piece is retried every 0.8 s.
+
+    That makes four attempts in 2 s, too few for the test to pass.
+    """
+    entry, origin = Entry(piece_ms=100.0), UnreachableOrigin()
+    entry.entry_locations = {
+        name: entry.entry_locations["own"] for name in ("own", *OTHERS)
+    }
+    assignments = relay_assignment.assignments(
+        "own", entry.entry_locations, FOUND.chunks
+    )
     seen = chunk_bitmap.to_bitmap(set(range(8)) - assignments.keys())
-    told = msgspec.structs.replace(hello(NEWEST), seen=seen)
+    announced = msgspec.structs.replace(hello(NEWEST), seen=seen)
 
     async def act(relay: piece_relay.PieceRelay) -> None:
-        relay.on_message("vm-1", told)
+        relay.on_message("vm-1", announced)
         async with asyncio.timeout(2.0):
-            while origin.drawn.count(min(assignments)) < 6:
+            while origin.fetched.count(min(assignments)) < 6:
                 await asyncio.sleep(0.02)
 
-    play(entry, origin, act)
+    run_relay(entry, origin, act)
 
 
-def test_piece_is_served_whole_and_an_unknown_one_refused() -> None:
+def test_held_piece_is_served_and_an_unknown_one_refused() -> None:
     entry, origin = Entry(), Origin()
 
     async def act(relay: piece_relay.PieceRelay) -> None:
         relay.on_message("vm-1", hello(NEWEST))
-        await until(lambda: entry.told("vm-1") == set(range(8)))
+        await until(lambda: entry.announced("vm-1") == set(range(8)))
         for index in (3, 60):
             relay.on_message(
                 "vm-1",
@@ -247,7 +256,7 @@
             )
         await asyncio.sleep(0.05)
 
-    play(entry, origin, act)
+    run_relay(entry, origin, act)
     replies = {
         message.index: message.data
         for _, message in entry.sent
@@ -256,24 +265,24 @@
     assert replies == {3: PIECES[3], 60: None}
 
 
-def test_entry_that_leaves_passes_on_what_is_on_its_way() -> None:
+def test_entry_that_leaves_passes_on_pieces_in_flight() -> None:
     entry, origin = Entry(), Origin()
 
     async def act(relay: piece_relay.PieceRelay) -> None:
         relay.on_message("vm-1", hello(NEWEST))
-        await until(lambda: bool(origin.drawn))
-        entry.here = {}
-        await until(lambda: entry.told("vm-1") == set(range(8)))
+        await until(lambda: bool(origin.fetched))
+        entry.entry_locations = {}
+        await until(lambda: entry.announced("vm-1") == set(range(8)))
 
-    play(entry, origin, act)
+    run_relay(entry, origin, act)
 
 
-def test_entry_that_knows_no_other_yet_fetches_nothing() -> None:
+def test_entry_that_knows_no_relays_fetches_nothing() -> None:
     entry, origin = Entry(), Origin()
-    entry.here = {}
+    entry.entry_locations = {}
 
     async def act(relay: piece_relay.PieceRelay) -> None:
         await asyncio.sleep(0.1)
 
-    play(entry, origin, act)
-    assert origin.drawn == []
+    run_relay(entry, origin, act)
+    assert origin.fetched == []
--- a/tests/direct/weights/test_piece_uploads.py
+++ b/tests/direct/weights/test_piece_uploads.py
@@ -18,7 +18,7 @@
 
 
 class Sent:
-    """Keeps what was sent."""
+    """Records the replies."""
 
     def __init__(self) -> None:
         self.replies: list[tuple[str, fleet_messages.FragmentReply]] = []
@@ -30,7 +30,7 @@
 
 
 @pytest.fixture
-def whole() -> manifest.ChunkSet:
+def chunk_set() -> manifest.ChunkSet:
     found = manifest.Manifest(
         model="m",
         version="2",
@@ -51,40 +51,44 @@
 
 
 async def serve(
-    whole: manifest.ChunkSet,
+    chunk_set: manifest.ChunkSet,
     requests: list[tuple[str, fleet_messages.FragmentRequest]],
 ) -> Sent:
     sent = Sent()
     uploads = piece_uploads.PieceUploads(
-        {NAME: whole}, sent.send, 1e9, clock.SystemClock()
+        {NAME: chunk_set}, sent.send, 1e9, clock.SystemClock()
     )
     for name, each in requests:
-        uploads.request(name, each)
+        uploads.handle_request(name, each)
     task = asyncio.create_task(uploads.run())
     await asyncio.sleep(0.05)
     task.cancel()
     return sent
 
 
-def test_piece_begun_first_is_sent_first(whole: manifest.ChunkSet) -> None:
-    """Else all that ask at once hold a whole piece only at the very end."""
+def test_oldest_transfer_is_served_first(chunk_set: manifest.ChunkSet) -> None:
+    """If transfers shared the link, all receivers would complete last."""
     receivers = [f"vm-{n}" for n in range(4)]
-    asked = [(r, request(0, n)) for n in range(4) for r in receivers]
-    sent = asyncio.run(serve(whole, asked))
+    submitted = [(r, request(0, n)) for n in range(4) for r in receivers]
+    sent = asyncio.run(serve(chunk_set, submitted))
     assert [name for name, _ in sent.replies] == [
         name for name in receivers for _ in range(4)
     ]
 
 
-def test_what_is_not_held_is_refused_at_once(whole: manifest.ChunkSet) -> None:
-    sent = asyncio.run(serve(whole, [("vm-1", request(1, 0))]))
+def test_piece_that_is_not_held_is_refused_at_once(
+    chunk_set: manifest.ChunkSet,
+) -> None:
+    sent = asyncio.run(serve(chunk_set, [("vm-1", request(1, 0))]))
     assert [reply.data for _, reply in sent.replies] == [None]
 
 
-def test_what_can_not_be_sent_soon_is_refused(whole: manifest.ChunkSet) -> None:
+def test_requests_beyond_the_queue_are_refused(
+    chunk_set: manifest.ChunkSet,
+) -> None:
     many = piece_uploads.UPLOADS_MAX + 5
-    asked = [(f"vm-{n}", request(0, 0)) for n in range(many)]
-    sent = asyncio.run(serve(whole, asked))
+    submitted = [(f"vm-{n}", request(0, 0)) for n in range(many)]
+    sent = asyncio.run(serve(chunk_set, submitted))
     refused = collections.Counter(
         reply.data is None for _, reply in sent.replies
     )
--- a/tests/direct/weights/test_standstill.py
+++ b/tests/direct/weights/test_stall_monitor.py
@@ -9,12 +9,12 @@
 from marlramp import ids
 from marlramp import logs
 from marlramp.core import swarm
-from marlramp.direct.weights import standstill
+from marlramp.direct.weights import stall_monitor
 
 
 @pytest.fixture
 def lines(monkeypatch: pytest.MonkeyPatch) -> list[dict[str, Any]]:
-    """Lines that were logged."""
+    """Fields of the logged lines."""
     found: list[dict[str, Any]] = []
     monkeypatch.setattr(
         logs, "log", lambda event, **fields: found.append(fields)
@@ -34,9 +34,9 @@
         rng,
     )
     current.record_holdings(ids.VmId("vm-2"), [1], [])
-    watch = standstill.Standstill(time)
+    watch = stall_monitor.StallMonitor(time)
     watch.check(current)
-    time.advance(standstill.STANDSTILL_MS - 1.0)
+    time.advance(stall_monitor.STALL_MS - 1.0)
     watch.check(current)
     assert lines == []
     time.advance(1.0)
@@ -44,7 +44,7 @@
     assert lines == [{"held": 1, "missing": ["1:1", "2:0"]}]
 
 
-def test_pieces_that_arrive_are_no_standstill(
+def test_arriving_pieces_are_no_stall(
     lines: list[dict[str, Any]], time: clock.ManualClock, rng: random.Random
 ) -> None:
     current = swarm.Swarm(
@@ -55,12 +55,12 @@
         time.now_ms(),
         rng,
     )
-    watch = standstill.Standstill(time)
+    watch = stall_monitor.StallMonitor(time)
     for index in range(3):
         watch.check(current)
-        time.advance(standstill.STANDSTILL_MS / 2)
+        time.advance(stall_monitor.STALL_MS / 2)
         current.record_chunk(index, None, valid=True, now_ms=time.now_ms())
     watch.check(current)
-    time.advance(standstill.STANDSTILL_MS)
+    time.advance(stall_monitor.STALL_MS)
     watch.check(current)
     assert lines == []
--- a/tests/direct/weights/test_weights_loader.py
+++ b/tests/direct/weights/test_weights_loader.py
@@ -1,4 +1,4 @@
-"""What the loader does before a scripted engine."""
+"""Tests the loader with a scripted engine."""
 
 from __future__ import annotations
 
@@ -27,17 +27,17 @@
 
 
 class Exchange:
-    """Knows the digests; holds what it is given."""
+    """Knows the digests and holds the pieces that are added."""
 
     def __init__(self) -> None:
-        self.whole = manifest.ChunkSet(FOUND, manifest.sha256_of)
+        self.chunk_set = manifest.ChunkSet(FOUND, manifest.sha256_of)
         self.wants = 0
         self.changed = asyncio.Event()
 
     async def find_manifest(
         self, wanted: version_digests.Wanted
     ) -> manifest.ChunkSet:
-        return self.whole
+        return self.chunk_set
 
     def want(self, wanted: version_digests.Wanted, *, is_new: bool) -> None:
         self.wants += 1
@@ -45,16 +45,16 @@
     def add(
         self, wanted: version_digests.Wanted, index: int, data: bytes
     ) -> bool:
-        return self.whole.add(index, data)
+        return self.chunk_set.add(index, data)
 
 
 class Engine:
-    """Starts at some time; serves the first version until it has loaded."""
+    """An engine that starts once `available` is set, and its agent."""
 
     def __init__(self) -> None:
         self.pieces: dict[int, bytes] = {}
         self.weights = 0
-        self.there = False
+        self.available = False
 
     async def staged(self, model: str) -> list[int]:
         return sorted(self.pieces)
@@ -70,13 +70,13 @@
     ) -> None:
         self.weights = version
 
-    # What the agent tells of it.
+    # Methods of the agent.
 
     def wanted(self) -> version_digests.Wanted | None:
         return WANTED
 
     def report(self) -> engine_state.EngineReport | None:
-        if not self.there:
+        if not self.available:
             return None
         return engine_state.EngineReport(
             weights=self.weights,
@@ -130,15 +130,15 @@
     return asyncio.create_task(loader.run())
 
 
-def test_weights_travel_while_the_engine_starts(engine: Engine) -> None:
+def test_weights_are_fetched_while_the_engine_starts(engine: Engine) -> None:
     async def main() -> None:
         exchange = Exchange()
         running = await started(engine, exchange)
         await asyncio.sleep(0.05)
         assert exchange.wants > 0
         for index, piece in enumerate(PIECES):
-            exchange.whole.add(index, piece)
-        engine.there = True
+            exchange.chunk_set.add(index, piece)
+        engine.available = True
         async with asyncio.timeout(2.0):
             while engine.weights != WANTED.version:
                 await asyncio.sleep(0.01)
@@ -148,15 +148,15 @@
     asyncio.run(main())
 
 
-def test_what_is_staged_already_is_not_staged_again(engine: Engine) -> None:
+def test_staged_pieces_are_adopted_unless_corrupt(engine: Engine) -> None:
     async def main() -> None:
         exchange = Exchange()
         engine.pieces = {0: PIECES[0], 1: b"rotten"}
-        engine.there = True
+        engine.available = True
         running = await started(engine, exchange)
         await asyncio.sleep(0.1)
-        assert exchange.whole.held == {0}
-        exchange.whole.add(1, PIECES[1])
+        assert exchange.chunk_set.held == {0}
+        exchange.chunk_set.add(1, PIECES[1])
         async with asyncio.timeout(2.0):
             while engine.weights != WANTED.version:
                 await asyncio.sleep(0.01)
