--- a/tests/direct/weights/test_manifest_herd.py
+++ b/tests/direct/weights/test_manifest_herd.py
@@ -28,8 +28,8 @@
 
 AGENTS = 51
 REQUESTS_PER_S_MAX = 40
-"""Requests a second that the origin answers; it resets further ones, each at the
-same cost."""
+"""Requests a second that the origin answers. It resets further ones, each at
+the same cost."""
 
 WANTED = version_digests.Wanted("m", 2)
 FOUND = manifest.Manifest(
