--- a/src/marlramp/direct/agent_daemon.py
+++ b/src/marlramp/direct/agent_daemon.py
@@ -223,7 +223,7 @@
 
     # What the loader asks for.
 
-    def wanted(self) -> version_digests.Wanted | None:
+    def wanted(self) -> version_digests.ModelVersion | None:
         """Returns the weights to serve, None if they are not known."""
         return self._weights.wanted()
 
@@ -258,7 +258,7 @@
         return report
 
     def begins_ms(
-        self, wanted: version_digests.Wanted, there_ms: float
+        self, wanted: version_digests.ModelVersion, there_ms: float
     ) -> float:
         """Returns when the engine may load pieces that are there then."""
         share = swap_schedule.order_position(
@@ -267,14 +267,14 @@
         return swap_schedule.load_start_ms(self._turns(wanted), share, there_ms)
 
     def drain_ms(
-        self, wanted: version_digests.Wanted, there_ms: float
+        self, wanted: version_digests.ModelVersion, there_ms: float
     ) -> float:
         """Returns how long what runs may go on before it is cut."""
         turns = self._turns(wanted)
         return 0.0 if turns is None else turns.drain_ms(there_ms)
 
     def _turns(
-        self, wanted: version_digests.Wanted
+        self, wanted: version_digests.ModelVersion
     ) -> swap_schedule.SwapSchedule | None:
         """Returns the turns of a version, None if its age is not known."""
         target = self._weights.target(wanted.model)
@@ -304,12 +304,12 @@
         """Returns whether streams that are cut go on at another engine."""
         return self._may_cut
 
-    def is_new(self, wanted: version_digests.Wanted) -> bool:
+    def is_new(self, wanted: version_digests.ModelVersion) -> bool:
         """Returns whether a version was named just now."""
         age_ms = self.age_ms(wanted)
         return age_ms is not None and age_ms < NEW_VERSION_MS
 
-    def age_ms(self, wanted: version_digests.Wanted) -> float | None:
+    def age_ms(self, wanted: version_digests.ModelVersion) -> float | None:
         """Returns the least time since a version was named, None if unknown."""
         target = self._weights.target(wanted.model)
         if target is None or target.named_by_ms is None:
--- a/src/marlramp/direct/fleet/named_weights.py
+++ b/src/marlramp/direct/fleet/named_weights.py
@@ -65,7 +65,7 @@
         self.model = ""
         self.engine: fleet.EngineSpec | None = None
 
-    def wanted(self) -> version_digests.Wanted | None:
+    def wanted(self) -> version_digests.ModelVersion | None:
         """Returns the weights to serve, None if they are not known."""
         if not self.model:
             return None
@@ -73,7 +73,7 @@
         version = fleet.FIRST_VERSION
         if target is not None:
             version = target.target.version
-        return version_digests.Wanted(self.model, version)
+        return version_digests.ModelVersion(self.model, version)
 
     def target(self, model: str) -> catalog.KnownTarget | None:
         """Returns what was named of a model, None if nothing was."""
--- a/src/marlramp/direct/fleet/relay_surroundings.py
+++ b/src/marlramp/direct/fleet/relay_surroundings.py
@@ -53,7 +53,7 @@
             return {}
         return self._placed.relay_places
 
-    def wanted(self) -> list[version_digests.Wanted]:
+    def wanted(self) -> list[version_digests.ModelVersion]:
         """Returns the newest version of each model that engines run."""
         config = self._catalog.config
         if config is None:
@@ -61,12 +61,12 @@
         models = {s.engine.model for s in config.services if s.engine}
         return [self._newest(model) for model in sorted(models)]
 
-    def _newest(self, model: str) -> version_digests.Wanted:
+    def _newest(self, model: str) -> version_digests.ModelVersion:
         target = self._catalog.targets.get(model)
         version = fleet.FIRST_VERSION
         if target is not None:
             version = target.target.version
-        return version_digests.Wanted(model, version)
+        return version_digests.ModelVersion(model, version)
 
     def piece_ms(self) -> float:
         """Returns the time in which a piece leaves the origin."""
@@ -85,7 +85,7 @@
         service = self._origin_service()
         return 1 if service is None else service.connections_max
 
-    def age_ms(self, wanted: version_digests.Wanted) -> float | None:
+    def age_ms(self, wanted: version_digests.ModelVersion) -> float | None:
         """Returns the least time since a version was named, None if unknown."""
         target = self._catalog.targets.get(wanted.model)
         if target is None:
--- a/src/marlramp/direct/weights/origin_fetches.py
+++ b/src/marlramp/direct/weights/origin_fetches.py
@@ -18,8 +18,10 @@
 The first agents in the order probe for the origin with one fetch at a time
 each, and all engines wait until it is found."""
 
-OnFetched: TypeAlias = Callable[[version_digests.Wanted, int, bytes], None]
-OnFailed: TypeAlias = Callable[[version_digests.Wanted, int, float], None]
+OnFetched: TypeAlias = Callable[
+    [version_digests.ModelVersion, int, bytes], None
+]
+OnFailed: TypeAlias = Callable[[version_digests.ModelVersion, int, float], None]
 """Receives the version, the index of the piece and the delay before a retry in
 ms."""
 
@@ -47,13 +49,15 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self.origin: version_digests.Origin | None = None
 
-    def start(self, wanted: version_digests.Wanted, index: int) -> None:
+    def start(self, wanted: version_digests.ModelVersion, index: int) -> None:
         """Starts to fetch a piece."""
         task = asyncio.create_task(self._fetch(wanted, index))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _fetch(self, wanted: version_digests.Wanted, index: int) -> None:
+    async def _fetch(
+        self, wanted: version_digests.ModelVersion, index: int
+    ) -> None:
         started_ms = self._clock.now_ms()
         try:
             if self.origin is None:
--- a/src/marlramp/direct/weights/piece_exchange.py
+++ b/src/marlramp/direct/weights/piece_exchange.py
@@ -128,8 +128,8 @@
             lambda: self._relays.names,
         )
         self._chunk_sets = self._digests.chunk_sets
-        self._wanted: version_digests.Wanted | None = None
-        self._linked_version: version_digests.Wanted | None = None
+        self._wanted: version_digests.ModelVersion | None = None
+        self._linked_version: version_digests.ModelVersion | None = None
         self._swarm: swarm.Swarm | None = None
         self._peers: dict[str, members.Member] = {}
         self._region_peers: set[str] = set()
@@ -182,7 +182,9 @@
         self._link_peers()
         self._update_swarm_members()
 
-    def whole(self, wanted: version_digests.Wanted) -> manifest.ChunkSet | None:
+    def whole(
+        self, wanted: version_digests.ModelVersion
+    ) -> manifest.ChunkSet | None:
         """Returns the pieces held of a version.
 
         Returns:
@@ -190,7 +192,9 @@
         """
         return self._chunk_sets.get(wanted.name)
 
-    def arrives_in_ms(self, wanted: version_digests.Wanted) -> float | None:
+    def arrives_in_ms(
+        self, wanted: version_digests.ModelVersion
+    ) -> float | None:
         """Returns the least time until all pieces of a version are held.
 
         Returns:
@@ -208,7 +212,7 @@
         return left_bytes / self._link_bytes_per_s * _MS
 
     def add(
-        self, wanted: version_digests.Wanted, index: int, data: bytes
+        self, wanted: version_digests.ModelVersion, index: int, data: bytes
     ) -> bool:
         """Adds a piece that was found on this VM.
 
@@ -226,7 +230,7 @@
         return True
 
     async def find_manifest(
-        self, wanted: version_digests.Wanted
+        self, wanted: version_digests.ModelVersion
     ) -> manifest.ChunkSet:
         """Returns the pieces of a version once its digests are known.
 
@@ -238,7 +242,9 @@
         self._link_peers()
         return await self._digests.find(wanted)
 
-    def want(self, wanted: version_digests.Wanted, *, is_new: bool) -> None:
+    def want(
+        self, wanted: version_digests.ModelVersion, *, is_new: bool
+    ) -> None:
         """Starts to fetch a version whose digests are known.
 
         Args:
@@ -446,12 +452,15 @@
                     self._origin_fetches.start(self._wanted, action.index)
 
     def _on_fetched(
-        self, wanted: version_digests.Wanted, index: int, data: bytes
+        self, wanted: version_digests.ModelVersion, index: int, data: bytes
     ) -> None:
         self._add_piece(wanted.name, index, data, None)
 
     def _on_fetch_failed(
-        self, wanted: version_digests.Wanted, index: int, retry_after_ms: float
+        self,
+        wanted: version_digests.ModelVersion,
+        index: int,
+        retry_after_ms: float,
     ) -> None:
         current = self._swarm_of(wanted.name)
         if current is not None:
@@ -459,7 +468,7 @@
             current.record_origin_failure(index, retry_after_ms, now_ms)
 
     def _announce(
-        self, current: swarm.Swarm, wanted: version_digests.Wanted
+        self, current: swarm.Swarm, wanted: version_digests.ModelVersion
     ) -> None:
         now_ms = self._clock.now_ms()
         since_ms = now_ms - self._announced_ms
--- a/src/marlramp/direct/weights/piece_relay.py
+++ b/src/marlramp/direct/weights/piece_relay.py
@@ -65,7 +65,7 @@
         """
         ...
 
-    def wanted(self) -> Sequence[version_digests.Wanted]:
+    def wanted(self) -> Sequence[version_digests.ModelVersion]:
         """Returns the newest version of each model."""
         ...
 
@@ -77,7 +77,7 @@
         """Returns the number of connections that the origin accepts."""
         ...
 
-    def age_ms(self, wanted: version_digests.Wanted) -> float | None:
+    def age_ms(self, wanted: version_digests.ModelVersion) -> float | None:
         """Returns the time in ms since a version was named, None if unknown."""
         ...
 
@@ -109,7 +109,7 @@
 
     def __init__(
         self,
-        wanted: version_digests.Wanted,
+        wanted: version_digests.ModelVersion,
         downloads: piece_downloads.PieceDownloads,
     ) -> None:
         self.wanted = wanted
@@ -164,7 +164,7 @@
         )
         self._versions: dict[str, _Version] = {}
         self._locations: Mapping[str, relay_assignment.Location] = {}
-        self._newest: dict[str, version_digests.Wanted] = {}
+        self._newest: dict[str, version_digests.ModelVersion] = {}
         self._wake = asyncio.Event()
 
     def set_origin(self, origin: version_digests.Origin | None) -> None:
@@ -212,7 +212,7 @@
         for wanted in newest:
             self._add_version(wanted)
 
-    def _is_newest(self, wanted: version_digests.Wanted) -> bool:
+    def _is_newest(self, wanted: version_digests.ModelVersion) -> bool:
         return self._newest.get(wanted.model) == wanted
 
     def _may_use_origin(self, version: _Version) -> bool:
@@ -225,7 +225,7 @@
             return True
         return self._clock.now_ms() - version.demand_ms < DEMAND_MAX_AGE_MS
 
-    def _add_version(self, wanted: version_digests.Wanted) -> _Version:
+    def _add_version(self, wanted: version_digests.ModelVersion) -> _Version:
         """Returns the state of a version; adds the version if it is new."""
         version = self._versions.get(wanted.name)
         if version is not None:
@@ -380,14 +380,17 @@
             self._add_piece(version, reply.index, data, name)
 
     def _on_fetched(
-        self, wanted: version_digests.Wanted, index: int, data: bytes
+        self, wanted: version_digests.ModelVersion, index: int, data: bytes
     ) -> None:
         version = self._versions.get(wanted.name)
         if version is not None:
             self._add_piece(version, index, data, None)
 
     def _on_fetch_failed(
-        self, wanted: version_digests.Wanted, index: int, retry_after_ms: float
+        self,
+        wanted: version_digests.ModelVersion,
+        index: int,
+        retry_after_ms: float,
     ) -> None:
         version = self._versions.get(wanted.name)
         if version is not None and version.fetch is not None:
--- a/src/marlramp/direct/weights/rollout_times.py
+++ b/src/marlramp/direct/weights/rollout_times.py
@@ -26,11 +26,11 @@
     def __init__(self, time: clock.Clock) -> None:
         """Starts without a version."""
         self._clock = time
-        self._wanted: version_digests.Wanted | None = None
+        self._wanted: version_digests.ModelVersion | None = None
         self._reached_ms: dict[Phase, float] = {}
 
     def record_phase(
-        self, wanted: version_digests.Wanted, phase: Phase
+        self, wanted: version_digests.ModelVersion, phase: Phase
     ) -> None:
         """Records the time at which a version first reaches a phase.
 
--- a/src/marlramp/direct/weights/version_digests.py
+++ b/src/marlramp/direct/weights/version_digests.py
@@ -61,7 +61,7 @@
         ...
 
 
-class Wanted(msgspec.Struct, frozen=True):
+class ModelVersion(msgspec.Struct, frozen=True):
     """One version of one model."""
 
     model: str
@@ -73,12 +73,12 @@
         return f"{self.model}@{self.version}"
 
 
-def parse_name(name: str) -> Wanted | None:
+def parse_name(name: str) -> ModelVersion | None:
     """Returns the version that a name denotes, None if the name is invalid."""
     model, _, version = name.rpartition("@")
     if not model or not version.isdecimal():
         return None
-    return Wanted(model, int(version))
+    return ModelVersion(model, int(version))
 
 
 class VersionDigests:
@@ -127,7 +127,7 @@
             collections.OrderedDict()
         )
 
-    async def find(self, wanted: Wanted) -> manifest.ChunkSet:
+    async def find(self, wanted: ModelVersion) -> manifest.ChunkSet:
         """Returns the pieces of a version once its digests are known.
 
         The digests come from the origin or from other processes.
@@ -173,10 +173,10 @@
         if not reply.data or reply.manifest in self.chunk_sets:
             return
         found = msgspec.json.decode(reply.data, type=manifest.Manifest)
-        if Wanted(found.model, int(found.version)).name == reply.manifest:
+        if ModelVersion(found.model, int(found.version)).name == reply.manifest:
             self._add_manifest(reply.manifest, found)
 
-    def _query_peers(self, wanted: Wanted) -> None:
+    def _query_peers(self, wanted: ModelVersion) -> None:
         """Requests digests from some processes, which reply once they know."""
         relays = list(self._relays())
         count = RELAYS_QUERIED if relays else PEERS_QUERIED
@@ -185,18 +185,22 @@
             wanted, self._rng.sample(known, min(count, len(known)))
         )
 
-    def _send_requests(self, wanted: Wanted, names: Iterable[str]) -> None:
+    def _send_requests(
+        self, wanted: ModelVersion, names: Iterable[str]
+    ) -> None:
         request = messages.ManifestRequest(manifest=wanted.name)
         for name in names:
             if name != self._own:
                 self._send(name, request)
 
-    def _fetch_order(self, wanted: Wanted) -> list[str]:
+    def _fetch_order(self, wanted: ModelVersion) -> list[str]:
         """Returns the order in which processes query the origin."""
         return rendezvous.order(wanted.name, {self._own, *self._peers()})
 
     def _is_due(
-        self, wanted: Wanted, origin_schedule: origin_requests.OriginRequests
+        self,
+        wanted: ModelVersion,
+        origin_schedule: origin_requests.OriginRequests,
     ) -> bool:
         if self.origin is None:
             return False
@@ -204,7 +208,9 @@
         return origin_schedule.due(rank, self._clock.now_ms())
 
     async def _fetch_manifest(
-        self, wanted: Wanted, origin_schedule: origin_requests.OriginRequests
+        self,
+        wanted: ModelVersion,
+        origin_schedule: origin_requests.OriginRequests,
     ) -> None:
         if self.origin is None:
             return
--- a/src/marlramp/direct/weights/weights_loader.py
+++ b/src/marlramp/direct/weights/weights_loader.py
@@ -99,7 +99,7 @@
 class Surroundings(Protocol):
     """What the loader queries from the agent that it belongs to."""
 
-    def wanted(self) -> version_digests.Wanted | None:
+    def wanted(self) -> version_digests.ModelVersion | None:
         """Returns the version to serve, None if it is unknown."""
         ...
 
@@ -112,7 +112,7 @@
         ...
 
     def begins_ms(
-        self, wanted: version_digests.Wanted, there_ms: float
+        self, wanted: version_digests.ModelVersion, there_ms: float
     ) -> float:
         """Returns the time from which on the engine may load a version.
 
@@ -123,7 +123,7 @@
         ...
 
     def drain_ms(
-        self, wanted: version_digests.Wanted, there_ms: float
+        self, wanted: version_digests.ModelVersion, there_ms: float
     ) -> float:
         """Returns how many ms running requests may go on before the load.
 
@@ -137,11 +137,11 @@
         """Returns whether streams that are cut continue on another engine."""
         ...
 
-    def is_new(self, wanted: version_digests.Wanted) -> bool:
+    def is_new(self, wanted: version_digests.ModelVersion) -> bool:
         """Returns whether a version was named just now."""
         ...
 
-    def age_ms(self, wanted: version_digests.Wanted) -> float | None:
+    def age_ms(self, wanted: version_digests.ModelVersion) -> float | None:
         """Returns the time in ms since a version was named, None if unknown."""
         ...
 
@@ -187,14 +187,14 @@
         self._totals = totals
         self._clock = time
         self._staged: set[int] = set()
-        self._staged_version: version_digests.Wanted | None = None
+        self._staged_version: version_digests.ModelVersion | None = None
         self._staged_born_ms: int | None = None
         self._verified_ms = float("-inf")
         self._times = rollout_times.RolloutTimes(time)
-        self._complete_ms: dict[version_digests.Wanted, float] = {}
+        self._complete_ms: dict[version_digests.ModelVersion, float] = {}
         self.state = LoaderState.IDLE
 
-    def there_ms(self, wanted: version_digests.Wanted) -> float | None:
+    def there_ms(self, wanted: version_digests.ModelVersion) -> float | None:
         """Returns the time at which all pieces of a version were held first.
 
         Returns:
@@ -221,7 +221,7 @@
                 self._set_state(LoaderState.IDLE)
                 await asyncio.sleep(RETRY_MS / _MS)
 
-    async def _step(self, wanted: version_digests.Wanted) -> None:
+    async def _step(self, wanted: version_digests.ModelVersion) -> None:
         self._times.record_phase(wanted, rollout_times.Phase.HEARD)
         chunk_set = await self._exchange.find_manifest(wanted)
         self._times.record_phase(wanted, rollout_times.Phase.DIGESTS)
@@ -266,7 +266,7 @@
         await asyncio.sleep(LOAD_POLL_MS / _MS)
 
     async def _adopt_staged(
-        self, wanted: version_digests.Wanted, chunk_set: manifest.ChunkSet
+        self, wanted: version_digests.ModelVersion, chunk_set: manifest.ChunkSet
     ) -> None:
         """Adopts the staged pieces whose digests match."""
         self._staged = set()
@@ -289,7 +289,7 @@
         )
 
     async def _stage_new(
-        self, wanted: version_digests.Wanted, chunk_set: manifest.ChunkSet
+        self, wanted: version_digests.ModelVersion, chunk_set: manifest.ChunkSet
     ) -> None:
         """Stages the pieces that are held and not staged yet."""
         missing = sorted(chunk_set.held - self._staged)
@@ -315,7 +315,7 @@
 
     def _may_load(
         self,
-        wanted: version_digests.Wanted,
+        wanted: version_digests.ModelVersion,
         report: engine_state.EngineReport,
     ) -> bool:
         """Returns whether this engine may load now."""
@@ -329,7 +329,7 @@
 
     async def _load(
         self,
-        wanted: version_digests.Wanted,
+        wanted: version_digests.ModelVersion,
         chunk_set: manifest.ChunkSet,
         *,
         serving: bool,
@@ -399,7 +399,7 @@
             await asyncio.sleep(LOAD_POLL_MS / _MS)
 
     async def _repair_staged(
-        self, wanted: version_digests.Wanted, chunk_set: manifest.ChunkSet
+        self, wanted: version_digests.ModelVersion, chunk_set: manifest.ChunkSet
     ) -> None:
         """Reads back every staged piece and replaces corrupt ones."""
         if self._clock.now_ms() - self._verified_ms < VERIFIED_MAX_AGE_MS:
@@ -418,7 +418,7 @@
 
         await _run_all(repair(i) for i in range(len(chunk_set.manifest.chunks)))
 
-    async def _wait_loaded(self, wanted: version_digests.Wanted) -> bool:
+    async def _wait_loaded(self, wanted: version_digests.ModelVersion) -> bool:
         end_ms = self._clock.now_ms() + LOAD_TIMEOUT_MS
         while self._clock.now_ms() < end_ms:
             report = await self._surroundings.read_report()
--- a/src/marlramp/experiments/spread.py
+++ b/src/marlramp/experiments/spread.py
@@ -149,8 +149,8 @@
             return fleet.places_left
         return fleet.places
 
-    def wanted(self) -> list[version_digests.Wanted]:
-        return [version_digests.Wanted(MODEL, 2)]
+    def wanted(self) -> list[version_digests.ModelVersion]:
+        return [version_digests.ModelVersion(MODEL, 2)]
 
     def piece_ms(self) -> float:
         plan = self._fleet.plan
@@ -159,7 +159,7 @@
     def origin_connections(self) -> int:
         return ORIGIN_CONNECTIONS
 
-    def age_ms(self, wanted: version_digests.Wanted) -> float | None:
+    def age_ms(self, wanted: version_digests.ModelVersion) -> float | None:
         if self._fleet.plan.holders:
             return None
         return self._fleet.time.now_ms()
@@ -339,7 +339,7 @@
                 task.cancel()
 
     async def _hold(self, exchange: piece_exchange.PieceExchange) -> None:
-        wanted = version_digests.Wanted(MODEL, 2)
+        wanted = version_digests.ModelVersion(MODEL, 2)
         await exchange.find_manifest(wanted)
         for index, piece in enumerate(self.pieces):
             exchange.add(wanted, index, piece)
@@ -347,7 +347,7 @@
 
     async def _fetch(self, name: str) -> None:
         exchange = self.exchanges[name]
-        wanted = version_digests.Wanted(MODEL, 2)
+        wanted = version_digests.ModelVersion(MODEL, 2)
         heard_ms = self.rng.uniform(0.0, self.plan.heard_within_ms)
         await asyncio.sleep(heard_ms / _MS)
         whole = await exchange.find_manifest(wanted)
--- a/tests/direct/weights/test_check_loop.py
+++ b/tests/direct/weights/test_check_loop.py
@@ -16,7 +16,7 @@
 from marlramp.protocol import messages
 
 PIECES = [b"0", b"1"]
-WANTED = version_digests.Wanted("m", 2)
+WANTED = version_digests.ModelVersion("m", 2)
 FOUND = manifest.Manifest(
     model="m",
     version="2",
--- a/tests/direct/weights/test_manifest_herd.py
+++ b/tests/direct/weights/test_manifest_herd.py
@@ -31,7 +31,7 @@
 """Requests a second that the origin answers. It resets further ones, each at
 the same cost."""
 
-WANTED = version_digests.Wanted("m", 2)
+WANTED = version_digests.ModelVersion("m", 2)
 FOUND = manifest.Manifest(
     model="m",
     version="2",
--- a/tests/direct/weights/test_piece_relay.py
+++ b/tests/direct/weights/test_piece_relay.py
@@ -23,8 +23,8 @@
 
 PIECES = [bytes([n]) * 64 for n in range(8)]
 OTHERS = [f"mate-{number}" for number in range(1, 5)]
-NEWEST = version_digests.Wanted("m", 2)
-FIRST = version_digests.Wanted("m", 1)
+NEWEST = version_digests.ModelVersion("m", 2)
+FIRST = version_digests.ModelVersion("m", 1)
 FOUND = manifest.Manifest(
     model="m",
     version="2",
@@ -75,7 +75,7 @@
     def places(self) -> dict[str, relay_assignment.Location]:
         return self.entry_locations
 
-    def wanted(self) -> list[version_digests.Wanted]:
+    def wanted(self) -> list[version_digests.ModelVersion]:
         return self.named
 
     def piece_ms(self) -> float:
@@ -84,7 +84,7 @@
     def origin_connections(self) -> int:
         return 48
 
-    def age_ms(self, wanted: version_digests.Wanted) -> float | None:
+    def age_ms(self, wanted: version_digests.ModelVersion) -> float | None:
         return 0.0
 
     def send_piece_message(self, name: str, message: msgspec.Struct) -> bool:
@@ -104,7 +104,7 @@
         return found
 
 
-def hello(wanted: version_digests.Wanted) -> messages.PeerHello:
+def hello(wanted: version_digests.ModelVersion) -> messages.PeerHello:
     return messages.PeerHello(
         vm_id=ids.VmId("vm-1"),
         manifest=wanted.name,
@@ -189,13 +189,13 @@
 
 def test_newest_version_is_kept_whatever_agents_request() -> None:
     entry, origin = Entry(), Origin()
-    entry.named = [version_digests.Wanted("m", 9)]
+    entry.named = [version_digests.ModelVersion("m", 9)]
 
     async def act(relay: piece_relay.PieceRelay) -> None:
         await until(lambda: len(origin.fetched) == 8)
         for version in range(1, 9):
             relay.on_message(
-                "vm-1", hello(version_digests.Wanted("m", version))
+                "vm-1", hello(version_digests.ModelVersion("m", version))
             )
         await asyncio.sleep(0.05)
         entry.sent.clear()
--- a/tests/direct/weights/test_weights_loader.py
+++ b/tests/direct/weights/test_weights_loader.py
@@ -15,7 +15,7 @@
 from marlramp.direct.weights import weights_loader
 
 PIECES = [b"a" * 8, b"b" * 8]
-WANTED = version_digests.Wanted("m", 2)
+WANTED = version_digests.ModelVersion("m", 2)
 FOUND = manifest.Manifest(
     model="m",
     version="2",
@@ -35,15 +35,17 @@
         self.changed = asyncio.Event()
 
     async def find_manifest(
-        self, wanted: version_digests.Wanted
+        self, wanted: version_digests.ModelVersion
     ) -> manifest.ChunkSet:
         return self.chunk_set
 
-    def want(self, wanted: version_digests.Wanted, *, is_new: bool) -> None:
+    def want(
+        self, wanted: version_digests.ModelVersion, *, is_new: bool
+    ) -> None:
         self.wants += 1
 
     def add(
-        self, wanted: version_digests.Wanted, index: int, data: bytes
+        self, wanted: version_digests.ModelVersion, index: int, data: bytes
     ) -> bool:
         return self.chunk_set.add(index, data)
 
@@ -72,7 +74,7 @@
 
     # Methods of the agent.
 
-    def wanted(self) -> version_digests.Wanted | None:
+    def wanted(self) -> version_digests.ModelVersion | None:
         return WANTED
 
     def report(self) -> engine_state.EngineReport | None:
@@ -91,22 +93,22 @@
         return self.report()
 
     def begins_ms(
-        self, wanted: version_digests.Wanted, there_ms: float
+        self, wanted: version_digests.ModelVersion, there_ms: float
     ) -> float:
         return float("-inf")
 
     def drain_ms(
-        self, wanted: version_digests.Wanted, there_ms: float
+        self, wanted: version_digests.ModelVersion, there_ms: float
     ) -> float:
         return 50.0
 
     def may_cut(self) -> bool:
         return True
 
-    def is_new(self, wanted: version_digests.Wanted) -> bool:
+    def is_new(self, wanted: version_digests.ModelVersion) -> bool:
         return True
 
-    def age_ms(self, wanted: version_digests.Wanted) -> float | None:
+    def age_ms(self, wanted: version_digests.ModelVersion) -> float | None:
         return None
 
     def limit_ms(self) -> float | None:
