--- a/src/marlramp/direct/fleet/entry_fleet.py
+++ b/src/marlramp/direct/fleet/entry_fleet.py
@@ -229,7 +229,7 @@
         if any(not isinstance(c, catalog.ReplicaChange) for c in changes):
             self._guide.tell_all()
             self._take_origin()
-            self._relay.look()
+            self._relay.wake()
 
     def _take_origin(self) -> None:
         """Takes the origin that the configuration names."""
--- a/src/marlramp/direct/weights/piece_relay.py
+++ b/src/marlramp/direct/weights/piece_relay.py
@@ -172,7 +172,7 @@
         self._digests.origin = origin
         self._origin_fetches.origin = origin
 
-    def look(self) -> None:
+    def wake(self) -> None:
         """Checks the named versions and the relaying entries at once."""
         self._wake.set()
 
--- a/src/marlramp/experiments/spread.py
+++ b/src/marlramp/experiments/spread.py
@@ -325,7 +325,7 @@
         ]
         serving += [asyncio.create_task(r.run()) for r in self.relays.values()]
         for relay in self.relays.values():
-            relay.look()
+            relay.wake()
         names = list(self.exchanges)
         for name in names[: self.plan.holders]:
             await self._hold(self.exchanges[name])
--- a/tests/direct/weights/test_piece_relay.py
+++ b/tests/direct/weights/test_piece_relay.py
@@ -125,7 +125,7 @@
         )
         relay.set_origin(origin)
         running = asyncio.create_task(relay.run())
-        relay.look()
+        relay.wake()
         await act(relay)
         running.cancel()
 
