--- a/src/marlramp/direct/fleet/relay_surroundings.py
+++ b/src/marlramp/direct/fleet/relay_surroundings.py
@@ -47,7 +47,7 @@
         service = self._origin_service()
         return "" if service is None else service.origin
 
-    def places(self) -> Mapping[str, relay_assignment.Location]:
+    def locations(self) -> Mapping[str, relay_assignment.Location]:
         """Returns the entries that relay pieces, this one among them."""
         if self._sync.roster.own.state is members.MemberState.LEAVING:
             return {}
--- a/src/marlramp/direct/weights/piece_relay.py
+++ b/src/marlramp/direct/weights/piece_relay.py
@@ -58,7 +58,7 @@
 class Surroundings(Protocol):
     """What the relay queries from the entry that it belongs to."""
 
-    def places(self) -> Mapping[str, relay_assignment.Location]:
+    def locations(self) -> Mapping[str, relay_assignment.Location]:
         """Returns the locations, by name, of the entries that relay pieces.
 
         This entry is among them, unless it is leaving.
@@ -288,11 +288,11 @@
         passes on the pieces that are still in flight to it, and meanwhile they
         are assigned to other entries too.
         """
-        places = self._surroundings.places()
-        if places == self._locations or self._own not in places:
+        locations = self._surroundings.locations()
+        if locations == self._locations or self._own not in locations:
             return
-        gone = self._locations.keys() - places.keys()
-        self._locations = places
+        gone = self._locations.keys() - locations.keys()
+        self._locations = locations
         for version in self._versions.values():
             chunk_set = self._chunk_sets.get(version.wanted.name)
             if version.fetch is None or chunk_set is None:
@@ -301,9 +301,9 @@
                 version.fetch.remove_peer(name)
             version.fetch.set_assignments(
                 relay_assignment.assignments(
-                    self._own, places, chunk_set.manifest.chunks
+                    self._own, locations, chunk_set.manifest.chunks
                 ),
-                len(places),
+                len(locations),
             )
             version.hello_sent_ms = float("-inf")
 
--- a/src/marlramp/experiments/spread.py
+++ b/src/marlramp/experiments/spread.py
@@ -142,7 +142,7 @@
         self._fleet = fleet
         self._name = name
 
-    def places(self) -> dict[str, relay_assignment.Location]:
+    def locations(self) -> dict[str, relay_assignment.Location]:
         fleet = self._fleet
         lost_ms = fleet.plan.relays_lost_ms + MEMBERS_KNOW_MS
         if fleet.plan.relays_lost and fleet.time.now_ms() >= lost_ms:
--- a/tests/direct/weights/test_piece_relay.py
+++ b/tests/direct/weights/test_piece_relay.py
@@ -72,7 +72,7 @@
         }
         self.sent: list[tuple[str, msgspec.Struct]] = []
 
-    def places(self) -> dict[str, relay_assignment.Location]:
+    def locations(self) -> dict[str, relay_assignment.Location]:
         return self.entry_locations
 
     def wanted(self) -> list[version_digests.ModelVersion]:
