--- a/src/marlramp/direct/weights/piece_exchange.py
+++ b/src/marlramp/direct/weights/piece_exchange.py
@@ -100,7 +100,7 @@
         time: clock.Clock,
         rng: random.Random | None = None,
     ) -> None:
-        """Starts without pieces; fetches after `want` was called.
+        """Starts without pieces; fetches after `start_fetch` was called.
 
         Args:
           own: this agent.
@@ -242,7 +242,7 @@
         self._link_peers()
         return await self._digests.find(wanted)
 
-    def want(
+    def start_fetch(
         self, wanted: version_digests.ModelVersion, *, is_new: bool
     ) -> None:
         """Starts to fetch a version whose digests are known.
--- a/src/marlramp/direct/weights/weights_loader.py
+++ b/src/marlramp/direct/weights/weights_loader.py
@@ -228,7 +228,9 @@
         if chunk_set.held:
             self._times.record_phase(wanted, rollout_times.Phase.FIRST_PIECE)
         # Pieces are fetched while the engine starts, too.
-        self._exchange.want(wanted, is_new=self._surroundings.is_new(wanted))
+        self._exchange.start_fetch(
+            wanted, is_new=self._surroundings.is_new(wanted)
+        )
         report = self._surroundings.report()
         if report is None:
             self._staged_version = None
--- a/src/marlramp/experiments/spread.py
+++ b/src/marlramp/experiments/spread.py
@@ -343,7 +343,7 @@
         await exchange.find_manifest(wanted)
         for index, piece in enumerate(self.pieces):
             exchange.add(wanted, index, piece)
-        exchange.want(wanted, is_new=False)
+        exchange.start_fetch(wanted, is_new=False)
 
     async def _fetch(self, name: str) -> None:
         exchange = self.exchanges[name]
@@ -351,7 +351,7 @@
         heard_ms = self.rng.uniform(0.0, self.plan.heard_within_ms)
         await asyncio.sleep(heard_ms / _MS)
         whole = await exchange.find_manifest(wanted)
-        exchange.want(wanted, is_new=self.plan.holders == 0)
+        exchange.start_fetch(wanted, is_new=self.plan.holders == 0)
         while not whole.complete:
             exchange.changed.clear()
             await exchange.changed.wait()
--- a/tests/direct/weights/test_check_loop.py
+++ b/tests/direct/weights/test_check_loop.py
@@ -55,7 +55,7 @@
     )
     found.set_origin(Origin())
     asyncio.run(found.find_manifest(WANTED))
-    found.want(WANTED, is_new=False)
+    found.start_fetch(WANTED, is_new=False)
     return found
 
 
--- a/tests/direct/weights/test_weights_loader.py
+++ b/tests/direct/weights/test_weights_loader.py
@@ -39,7 +39,7 @@
     ) -> manifest.ChunkSet:
         return self.chunk_set
 
-    def want(
+    def start_fetch(
         self, wanted: version_digests.ModelVersion, *, is_new: bool
     ) -> None:
         self.wants += 1
