--- a/src/marlramp/direct/agent_daemon.py
+++ b/src/marlramp/direct/agent_daemon.py
@@ -422,7 +422,7 @@
         wanted = self.wanted()
         if wanted is None or report.weights in (0, wanted.version):
             return None
-        there_ms = self._exchange.arrives_in_ms(wanted)
+        there_ms = self._exchange.completes_in_ms(wanted)
         if there_ms is None:
             # What can't be loaded takes no request from this engine.
             return None
--- a/src/marlramp/direct/weights/piece_exchange.py
+++ b/src/marlramp/direct/weights/piece_exchange.py
@@ -192,7 +192,7 @@
         """
         return self._chunk_sets.get(wanted.name)
 
-    def arrives_in_ms(
+    def completes_in_ms(
         self, wanted: version_digests.ModelVersion
     ) -> float | None:
         """Returns the least time until all pieces of a version are held.
