--- a/src/marlramp/direct/weights/piece_exchange.py
+++ b/src/marlramp/direct/weights/piece_exchange.py
@@ -182,7 +182,7 @@
         self._link_peers()
         self._update_swarm_members()
 
-    def whole(
+    def chunk_set(
         self, wanted: version_digests.ModelVersion
     ) -> manifest.ChunkSet | None:
         """Returns the pieces held of a version.
@@ -200,15 +200,15 @@
         Returns:
           The time in ms, None if the digests are unknown or no piece arrives.
         """
-        whole = self._chunk_sets.get(wanted.name)
-        if whole is None:
+        chunk_set = self._chunk_sets.get(wanted.name)
+        if chunk_set is None:
             return None
-        if whole.complete:
+        if chunk_set.complete:
             return 0.0
         current = self._swarm_of(wanted.name)
         if current is None or current.is_stalled(self._clock.now_ms()):
             return None
-        left_bytes = whole.manifest.chunk_bytes * len(current.missing())
+        left_bytes = chunk_set.manifest.chunk_bytes * len(current.missing())
         return left_bytes / self._link_bytes_per_s * _MS
 
     def add(
@@ -219,8 +219,8 @@
         Returns:
           Whether the digest of the piece matches.
         """
-        whole = self._chunk_sets.get(wanted.name)
-        if whole is None or not whole.add(index, data):
+        chunk_set = self._chunk_sets.get(wanted.name)
+        if chunk_set is None or not chunk_set.add(index, data):
             return False
         current = self._swarm_of(wanted.name)
         if current is not None:
@@ -253,18 +253,18 @@
         """
         if wanted == self._wanted:
             return
-        whole = self._chunk_sets[wanted.name]
+        chunk_set = self._chunk_sets[wanted.name]
         self._chunk_sets.move_to_end(wanted.name)
         while len(self._chunk_sets) > CHUNK_SETS_KEPT:
             self._chunk_sets.popitem(last=False)
         self._wanted = wanted
         self._downloads.set_version(
-            piece_downloads.Version(wanted.name, whole.manifest.chunk_size)
+            piece_downloads.Version(wanted.name, chunk_set.manifest.chunk_size)
         )
         self._swarm = swarm.Swarm(
             ids.VmId(self._own.vm_id),
-            whole.manifest.chunks,
-            whole.held,
+            chunk_set.manifest.chunks,
+            chunk_set.held,
             piece_policy.POLICY,
             self._clock.now_ms(),
             self._rng,
@@ -362,15 +362,15 @@
         manifest_name = about
         if not manifest_name and self._wanted is not None:
             manifest_name = self._wanted.name
-        whole = self._chunk_sets.get(manifest_name)
-        if whole is None:
+        chunk_set = self._chunk_sets.get(manifest_name)
+        if chunk_set is None:
             return
         current = self._swarm_of(manifest_name)
-        seen = whole.held if current is None else current.seen
+        seen = chunk_set.held if current is None else current.seen
         hello = messages.PeerHello(
             vm_id=self._own.vm_id,
             manifest=manifest_name,
-            held=chunk_bitmap.to_bitmap(whole.held),
+            held=chunk_bitmap.to_bitmap(chunk_set.held),
             seen=chunk_bitmap.to_bitmap(seen),
             reply=reply,
         )
@@ -396,11 +396,11 @@
     def _add_piece(
         self, name: str, index: int, data: bytes, peer: str | None
     ) -> None:
-        whole = self._chunk_sets.get(name)
-        if whole is None:
+        chunk_set = self._chunk_sets.get(name)
+        if chunk_set is None:
             return
-        known = whole.get(index) is not None
-        valid = known or whole.add(index, data)
+        known = chunk_set.get(index) is not None
+        valid = known or chunk_set.add(index, data)
         source = "origin" if peer is None else "peer"
         if valid:
             reason = "duplicate" if known else source
