--- a/src/marlramp/direct/agent_daemon.py
+++ b/src/marlramp/direct/agent_daemon.py
@@ -258,20 +258,22 @@
         return report
 
     def begins_ms(
-        self, wanted: version_digests.ModelVersion, there_ms: float
+        self, wanted: version_digests.ModelVersion, complete_ms: float
     ) -> float:
         """Returns when the engine may load pieces that are there then."""
         share = swap_schedule.order_position(
             self._own.vm_id, list(self._peers), wanted.name
         )
-        return swap_schedule.load_start_ms(self._turns(wanted), share, there_ms)
+        return swap_schedule.load_start_ms(
+            self._turns(wanted), share, complete_ms
+        )
 
     def drain_ms(
-        self, wanted: version_digests.ModelVersion, there_ms: float
+        self, wanted: version_digests.ModelVersion, complete_ms: float
     ) -> float:
         """Returns how long what runs may go on before it is cut."""
         turns = self._turns(wanted)
-        return 0.0 if turns is None else turns.drain_ms(there_ms)
+        return 0.0 if turns is None else turns.drain_ms(complete_ms)
 
     def _turns(
         self, wanted: version_digests.ModelVersion
@@ -427,7 +429,7 @@
             # What can't be loaded takes no request from this engine.
             return None
         now_ms = self._clock.now_ms()
-        there_at_ms = self._loader.there_ms(wanted)
+        there_at_ms = self._loader.complete_ms(wanted)
         if there_at_ms is None:
             there_at_ms = now_ms + there_ms
         cut_ms = self.begins_ms(wanted, there_at_ms)
--- a/src/marlramp/direct/weights/weights_loader.py
+++ b/src/marlramp/direct/weights/weights_loader.py
@@ -112,24 +112,24 @@
         ...
 
     def begins_ms(
-        self, wanted: version_digests.ModelVersion, there_ms: float
+        self, wanted: version_digests.ModelVersion, complete_ms: float
     ) -> float:
         """Returns the time from which on the engine may load a version.
 
         Args:
           wanted: the version.
-          there_ms: time at which all its pieces were held.
+          complete_ms: time at which all its pieces were held.
         """
         ...
 
     def drain_ms(
-        self, wanted: version_digests.ModelVersion, there_ms: float
+        self, wanted: version_digests.ModelVersion, complete_ms: float
     ) -> float:
         """Returns how many ms running requests may go on before the load.
 
         Args:
           wanted: the version.
-          there_ms: time at which all its pieces were held.
+          complete_ms: time at which all its pieces were held.
         """
         ...
 
@@ -194,7 +194,7 @@
         self._complete_ms: dict[version_digests.ModelVersion, float] = {}
         self.state = LoaderState.IDLE
 
-    def there_ms(self, wanted: version_digests.ModelVersion) -> float | None:
+    def complete_ms(self, wanted: version_digests.ModelVersion) -> float | None:
         """Returns the time at which all pieces of a version were held first.
 
         Returns:
@@ -325,8 +325,8 @@
             return False
         if report.weights == 0:
             return True
-        there_ms = self._complete_ms[wanted]
-        begins_ms = self._surroundings.begins_ms(wanted, there_ms)
+        complete_ms = self._complete_ms[wanted]
+        begins_ms = self._surroundings.begins_ms(wanted, complete_ms)
         return self._clock.now_ms() >= begins_ms
 
     async def _load(
@@ -349,8 +349,8 @@
             return
         self._set_state(LoaderState.LOADING)
         if serving:
-            there_ms = self._complete_ms[wanted]
-            await self._drain(self._surroundings.drain_ms(wanted, there_ms))
+            complete_ms = self._complete_ms[wanted]
+            await self._drain(self._surroundings.drain_ms(wanted, complete_ms))
         report = await self._surroundings.read_report()
         if report is None or report.born_ms != self._staged_born_ms:
             self._set_state(LoaderState.IDLE)
--- a/tests/direct/weights/test_weights_loader.py
+++ b/tests/direct/weights/test_weights_loader.py
@@ -93,12 +93,12 @@
         return self.report()
 
     def begins_ms(
-        self, wanted: version_digests.ModelVersion, there_ms: float
+        self, wanted: version_digests.ModelVersion, complete_ms: float
     ) -> float:
         return float("-inf")
 
     def drain_ms(
-        self, wanted: version_digests.ModelVersion, there_ms: float
+        self, wanted: version_digests.ModelVersion, complete_ms: float
     ) -> float:
         return 50.0
 
