--- a/src/marlramp/direct/agent_daemon.py
+++ b/src/marlramp/direct/agent_daemon.py
@@ -257,7 +257,7 @@
             self._tell_now()
         return report
 
-    def begins_ms(
+    def load_start_ms(
         self, wanted: version_digests.ModelVersion, complete_ms: float
     ) -> float:
         """Returns when the engine may load pieces that are there then."""
@@ -432,7 +432,7 @@
         there_at_ms = self._loader.complete_ms(wanted)
         if there_at_ms is None:
             there_at_ms = now_ms + there_ms
-        cut_ms = self.begins_ms(wanted, there_at_ms)
+        cut_ms = self.load_start_ms(wanted, there_at_ms)
         cut_ms += self.drain_ms(wanted, there_at_ms)
         return max(0.0, cut_ms - now_ms)
 
--- a/src/marlramp/direct/weights/weights_loader.py
+++ b/src/marlramp/direct/weights/weights_loader.py
@@ -111,7 +111,7 @@
         """Reads a new report from the engine, None if it is unavailable."""
         ...
 
-    def begins_ms(
+    def load_start_ms(
         self, wanted: version_digests.ModelVersion, complete_ms: float
     ) -> float:
         """Returns the time from which on the engine may load a version.
@@ -326,8 +326,8 @@
         if report.weights == 0:
             return True
         complete_ms = self._complete_ms[wanted]
-        begins_ms = self._surroundings.begins_ms(wanted, complete_ms)
-        return self._clock.now_ms() >= begins_ms
+        start_ms = self._surroundings.load_start_ms(wanted, complete_ms)
+        return self._clock.now_ms() >= start_ms
 
     async def _load(
         self,
--- a/tests/direct/weights/test_weights_loader.py
+++ b/tests/direct/weights/test_weights_loader.py
@@ -92,7 +92,7 @@
     async def read_report(self) -> engine_state.EngineReport | None:
         return self.report()
 
-    def begins_ms(
+    def load_start_ms(
         self, wanted: version_digests.ModelVersion, complete_ms: float
     ) -> float:
         return float("-inf")
