--- a/src/marlramp/direct/weights/piece_exchange.py
+++ b/src/marlramp/direct/weights/piece_exchange.py
@@ -54,11 +54,12 @@
 once. Checks every 25 ms cost an idle agent a sixth of its processor time."""
 
 ANNOUNCE_MS = 70.0
-"""Minimum time between announcements of new pieces, which are announced
-together."""
+"""Minimum time between announcements. Each lists all pieces added since the
+previous one."""
 
 KEEPALIVE_MS = 500.0
-"""Time without an announcement after which an empty one is sent."""
+"""Time without an announcement after which an empty one is sent, while pieces
+are missing here or at a neighbour."""
 
 PEER_TIMEOUT_MS = 2_000.0
 """Time without a message after which a neighbour is removed from the swarm."""
--- a/src/marlramp/direct/weights/piece_policy.py
+++ b/src/marlramp/direct/weights/piece_policy.py
@@ -7,7 +7,7 @@
 TAKEOVER_MS = 2_200.0
 """Delay per rank before another agent fetches a piece from the origin: the time
 in which one copy leaves the origin. With a shorter delay, pieces that still
-queue at the origin are fetched twice, and the first copy is complete later."""
+wait to be fetched are fetched twice, and the first copy is complete later."""
 
 TAKEOVER_MAX_MS = 1_200.0
 """Limit to which the delay per rank grows while pieces arrive slowly."""
--- a/src/marlramp/direct/weights/piece_relay.py
+++ b/src/marlramp/direct/weights/piece_relay.py
@@ -237,10 +237,10 @@
         self._versions[wanted.name] = version
         version.start_task = asyncio.create_task(self._start_fetch(version))
         while len(self._versions) > VERSIONS_KEPT:
-            self._drop(self._least_wanted())
+            self._drop(self._oldest_version())
         return version
 
-    def _least_wanted(self) -> str:
+    def _oldest_version(self) -> str:
         """Returns the name of the oldest version that is not the newest one."""
         for name, version in self._versions.items():
             if not self._is_newest(version.wanted):
--- a/src/marlramp/direct/weights/rollout_times.py
+++ b/src/marlramp/direct/weights/rollout_times.py
@@ -15,7 +15,7 @@
     HEARD = "heard"
     DIGESTS = "digests"
     FIRST_PIECE = "first_piece"
-    WHOLE = "whole"
+    COMPLETE = "whole"
     ORDERED = "ordered"
     LOADED = "loaded"
 
--- a/src/marlramp/direct/weights/version_digests.py
+++ b/src/marlramp/direct/weights/version_digests.py
@@ -33,12 +33,13 @@
 kilobytes."""
 
 FETCHERS_QUERIED = 2
-"""Number of processes to query, out of those that request the digests from the
-origin first, where all processes query them."""
+"""Processes at the front of the order of requests to the origin that are
+queried if `queries_fetchers` is set: all processes query them."""
 
 PENDING_VERSIONS_MAX = 4
-"""Maximum number of versions with pending requests of other processes, as only
-versions that were named recently are requested."""
+"""Maximum number of versions with pending requests of other processes: the
+versions that were named recently. Once it is reached, the next request discards
+all pending ones."""
 
 
 class Origin(Protocol):
@@ -69,7 +70,7 @@
 
     @property
     def name(self) -> str:
-        """Name of the version in messages between processes, as `model@7`."""
+        """Name of the version in messages between processes, such as `m@7`."""
         return f"{self.model}@{self.version}"
 
 
--- a/src/marlramp/direct/weights/weights_loader.py
+++ b/src/marlramp/direct/weights/weights_loader.py
@@ -258,7 +258,7 @@
             await self._wait_changed()
             return
         await self._stage_new(wanted, chunk_set)
-        self._times.record_phase(wanted, rollout_times.Phase.WHOLE)
+        self._times.record_phase(wanted, rollout_times.Phase.COMPLETE)
         if wanted not in self._complete_ms:
             self._complete_ms = {wanted: self._clock.now_ms()}
         if self._may_load(wanted, report):
