--- a/src/marlramp/direct/agent_daemon.py
+++ b/src/marlramp/direct/agent_daemon.py
@@ -228,7 +228,7 @@
 
     # Methods that the weights loader calls.
 
-    def wanted(self) -> version_digests.Wanted | None:
+    def wanted(self) -> version_digests.ModelVersion | None:
         """Returns the weights to serve, None if they are unknown."""
         return self._weights.wanted()
 
@@ -269,8 +269,8 @@
             self._report_to_all()
         return report
 
-    def begins_ms(
-        self, wanted: version_digests.Wanted, pieces_ready_ms: float
+    def load_start_ms(
+        self, wanted: version_digests.ModelVersion, pieces_ready_ms: float
     ) -> float:
         """Returns when the engine may start to load a version.
 
@@ -290,7 +290,7 @@
         )
 
     def drain_ms(
-        self, wanted: version_digests.Wanted, pieces_ready_ms: float
+        self, wanted: version_digests.ModelVersion, pieces_ready_ms: float
     ) -> float:
         """Returns how long running requests may continue before they are cut.
 
@@ -302,7 +302,7 @@
         return 0.0 if schedule is None else schedule.drain_ms(pieces_ready_ms)
 
     def _schedule(
-        self, wanted: version_digests.Wanted
+        self, wanted: version_digests.ModelVersion
     ) -> swap_schedule.SwapSchedule | None:
         """Returns the schedule of a version, None if its age is unknown."""
         target = self._weights.target(wanted.model)
@@ -332,12 +332,12 @@
         """Returns whether cut streams continue at another engine."""
         return self._may_cut
 
-    def is_new(self, wanted: version_digests.Wanted) -> bool:
+    def is_new(self, wanted: version_digests.ModelVersion) -> bool:
         """Returns whether a version is too new for any agent to hold it."""
         age_ms = self.age_ms(wanted)
         return age_ms is not None and age_ms < NEW_VERSION_MS
 
-    def age_ms(self, wanted: version_digests.Wanted) -> float | None:
+    def age_ms(self, wanted: version_digests.ModelVersion) -> float | None:
         """Returns the least possible age of a version, None if unknown."""
         target = self._weights.target(wanted.model)
         if target is None or target.named_by_ms is None:
@@ -464,15 +464,15 @@
         wanted = self.wanted()
         if wanted is None or report.weights in (0, wanted.version):
             return None
-        arrives_in_ms = self._exchange.arrives_in_ms(wanted)
+        arrives_in_ms = self._exchange.completes_in_ms(wanted)
         if arrives_in_ms is None:
             # A version that cannot be loaded must not keep requests away.
             return None
         now_ms = self._clock.now_ms()
-        ready_at_ms = self._loader.there_ms(wanted)
+        ready_at_ms = self._loader.complete_ms(wanted)
         if ready_at_ms is None:
             ready_at_ms = now_ms + arrives_in_ms
-        cut_ms = self.begins_ms(wanted, ready_at_ms)
+        cut_ms = self.load_start_ms(wanted, ready_at_ms)
         cut_ms += self.drain_ms(wanted, ready_at_ms)
         return max(0.0, cut_ms - now_ms)
 
--- a/src/marlramp/experiments/spread.py
+++ b/src/marlramp/experiments/spread.py
@@ -142,15 +142,15 @@
         self._fleet = fleet
         self._name = name
 
-    def places(self) -> dict[str, relay_assignment.Location]:
+    def locations(self) -> dict[str, relay_assignment.Location]:
         fleet = self._fleet
         lost_ms = fleet.plan.relays_lost_ms + MEMBERS_KNOW_MS
         if fleet.plan.relays_lost and fleet.time.now_ms() >= lost_ms:
             return fleet.places_left
         return fleet.places
 
-    def wanted(self) -> list[version_digests.Wanted]:
-        return [version_digests.Wanted(MODEL, 2)]
+    def wanted(self) -> list[version_digests.ModelVersion]:
+        return [version_digests.ModelVersion(MODEL, 2)]
 
     def piece_ms(self) -> float:
         plan = self._fleet.plan
@@ -159,7 +159,7 @@
     def origin_connections(self) -> int:
         return ORIGIN_CONNECTIONS
 
-    def age_ms(self, wanted: version_digests.Wanted) -> float | None:
+    def age_ms(self, wanted: version_digests.ModelVersion) -> float | None:
         if self._fleet.plan.holders:
             return None
         return self._fleet.time.now_ms()
@@ -325,7 +325,7 @@
         ]
         serving += [asyncio.create_task(r.run()) for r in self.relays.values()]
         for relay in self.relays.values():
-            relay.look()
+            relay.wake()
         names = list(self.exchanges)
         for name in names[: self.plan.holders]:
             await self._hold(self.exchanges[name])
@@ -339,19 +339,19 @@
                 task.cancel()
 
     async def _hold(self, exchange: piece_exchange.PieceExchange) -> None:
-        wanted = version_digests.Wanted(MODEL, 2)
+        wanted = version_digests.ModelVersion(MODEL, 2)
         await exchange.find_manifest(wanted)
         for index, piece in enumerate(self.pieces):
             exchange.add(wanted, index, piece)
-        exchange.want(wanted, is_new=False)
+        exchange.start_fetch(wanted, is_new=False)
 
     async def _fetch(self, name: str) -> None:
         exchange = self.exchanges[name]
-        wanted = version_digests.Wanted(MODEL, 2)
+        wanted = version_digests.ModelVersion(MODEL, 2)
         heard_ms = self.rng.uniform(0.0, self.plan.heard_within_ms)
         await asyncio.sleep(heard_ms / _MS)
         whole = await exchange.find_manifest(wanted)
-        exchange.want(wanted, is_new=self.plan.holders == 0)
+        exchange.start_fetch(wanted, is_new=self.plan.holders == 0)
         while not whole.complete:
             exchange.changed.clear()
             await exchange.changed.wait()
