--- a/src/marlramp/direct/fleet/__init__.py
+++ b/src/marlramp/direct/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What processes tell one another and read from the store."""
+"""Exchange of state between processes, and reading of the store."""
--- a/src/marlramp/direct/fleet/catalog_log.py
+++ b/src/marlramp/direct/fleet/catalog_log.py
@@ -1,4 +1,4 @@
-"""Log lines for changes of what a process believes the store holds."""
+"""Log lines for changes of a process's catalog."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
     known: catalog.Catalog,
     now_ms: clock.Millis,
 ) -> None:
-    """Logs one change.
+    """Logs one change of the catalog.
 
     Args:
-      change: the change, taken into `known`.
-      source: where it was heard.
+      change: the change, already applied to `known`.
+      source: "store", or the name of the process that sent the change.
       known: the catalog.
       now_ms: the time.
     """
@@ -59,14 +59,14 @@
     now_ms: clock.Millis,
     **more: object,
 ) -> None:
-    """Logs what is known now of when a version was named.
+    """Logs the bounds on the age of a version's announcement.
 
     Args:
-      event: name of the line.
-      known: the versions of its model.
+      event: name of the log event.
+      known: the versions of the model.
       version: the version.
       now_ms: the time.
-      more: further fields of the line.
+      more: further fields of the log line.
     """
     named = next(each for each in known.named if each.version == version)
     aged = named.aged(known.target.model, now_ms)
@@ -84,7 +84,7 @@
 
 
 def _rounded(value_ms: float | None) -> int | None:
-    """Returns whole milliseconds for a log line, None if unknown."""
+    """Returns a time rounded to milliseconds, None if unknown or infinite."""
     if value_ms is None or math.isinf(value_ms):
         return None
     return round(value_ms)
--- a/src/marlramp/direct/fleet/catalog_news.py
+++ b/src/marlramp/direct/fleet/catalog_news.py
@@ -1,4 +1,4 @@
-"""Packs changes of the catalog into messages between processes."""
+"""Encodes catalog changes for messages between processes."""
 
 from __future__ import annotations
 
@@ -15,19 +15,22 @@
 _decoder = msgspec.msgpack.Decoder(_Changes)
 
 UNPACKED_BYTES_MAX = 16_777_216
-"""Size of changes that a receiver is willing to unpack."""
+"""Maximum decompressed size in bytes that a receiver accepts."""
 
 
 def pack(changes: list[catalog.Change]) -> bytes:
-    """Returns changes in compact form: a configuration shrinks sixfold."""
+    """Returns changes encoded and compressed.
+
+    Compression reduces a configuration to a sixth of its size.
+    """
     return zlib.compress(_encoder.encode(changes))
 
 
 def unpack(data: bytes) -> list[catalog.Change]:
-    """Returns the changes in a message.
+    """Returns the changes that `pack` encoded.
 
     Raises:
-      ValueError: if they are malformed or too large.
+      ValueError: if the data is malformed or too large.
     """
     unpacker = zlib.decompressobj()
     try:
--- a/src/marlramp/direct/fleet/catalog_sync.py
+++ b/src/marlramp/direct/fleet/catalog_sync.py
@@ -1,4 +1,8 @@
-"""Keeps the catalogs of the entries in step with one another."""
+"""Synchronises the catalogs of the entries.
+
+The entries that read the store send each change to the other entries. An entry
+that missed changes requests them from an entry that has them.
+"""
 
 from __future__ import annotations
 
@@ -19,19 +23,21 @@
 from marlramp.protocol import fleet_messages
 
 REQUEST_NEWS_MS = 500.0
-"""Between two requests for changes that were missed."""
+"""Minimum interval between two requests for missed changes."""
 
 FIRST_REQUEST_NEWS_MS = 150.0
-"""The same while nothing is known yet: all that start would otherwise have
-all of the catalog sent by each entry that they meet."""
+"""Minimum interval between two requests while the catalog is empty. Without a
+limit, each starting entry would be sent the complete catalog by every entry
+that it meets."""
 
 RELAYS = 1
-"""Entries of each data centre elsewhere that are told of a change and tell the
-others there. The two readers choose two different ones."""
+"""Number of entries in each data centre of another region that a reader sends a
+change to, and that forward it to the other entries there. The two readers
+choose different ones."""
 
 
 class CatalogSync:
-    """This entry's part in passing on what was read from the store."""
+    """Distributes catalog changes between this entry and the others."""
 
     def __init__(
         self,
@@ -41,14 +47,15 @@
         time: clock.Clock,
         on_named: Callable[[str], None] = lambda _: None,
     ) -> None:
-        """Applies what others tell to `known`.
+        """Creates a synchroniser that applies received changes to `known`.
 
         Args:
           known: the catalog of this entry.
           sync: the other members.
-          on_changed: called with changes that were new.
+          on_changed: called with the changes that were new to the catalog.
           time: the clock.
-          on_named: called with the entry that told of a version.
+          on_named: called with the name of an entry that sent a change of
+            target weights.
         """
         self._catalog = known
         self._sync = sync
@@ -57,77 +64,94 @@
         self._clock = time
         self._requested_ms = float("-inf")
         self._store_down = False
-        self._near_told = 0
+        self._near_sent_revision = 0
 
     def publish(self, after: int, changes: list[catalog.Change]) -> None:
-        """Takes changes read from the store and tells the others.
+        """Sends changes that were read from the store to the other entries.
 
         Args:
-          after: revision before them.
+          after: revision of the catalog before the changes.
           changes: the changes, already in the catalog.
         """
-        self._take(changes, "store")
-        news = self._news(after, self._completed(after, changes))
-        self._tell_near(news)
-        onward = msgspec.structs.replace(news, pass_on=True)
-        self._sync.send_all(self._relays(), onward)
+        self._handle_changes(changes, "store")
+        update = self._make_update(after, self._completed(after, changes))
+        self._send_near(update)
+        forwarded = msgspec.structs.replace(update, pass_on=True)
+        self._sync.send_all(self._relays_elsewhere(), forwarded)
 
     def on_revision(self, name: str, revision: int, *, reading: bool) -> None:
-        """Asks an entry that knows more, unless the own reader will see it."""
+        """Requests changes from an entry whose catalog is newer.
+
+        Args:
+          name: the entry.
+          revision: revision of the entry's catalog.
+          reading: whether this entry's reader will read the changes itself.
+        """
         if revision > self._catalog.revision and not reading:
-            self._request_news(name)
+            self._request_changes(name)
+
+    def on_news(self, name: str, update: fleet_messages.CatalogNews) -> None:
+        """Applies changes from another entry, and forwards them if requested.
 
-    def on_news(self, name: str, news: fleet_messages.CatalogNews) -> None:
-        """Takes changes that another entry tells."""
+        If changes are missing in between, requests them from the sender.
+        """
         now_ms = self._clock.now_ms()
         before = self._catalog.revision
-        changes = catalog_news.unpack(news.changes)
-        hearing = event_time.unsolicited(version_ages.WAY_MAX_MS, now_ms)
-        new = self._catalog.apply(changes, now_ms, hearing)
-        if news.after <= before:
-            self._catalog.advance(news.revision)
+        changes = catalog_news.unpack(update.changes)
+        receipt = event_time.unsolicited(version_ages.WAY_MAX_MS, now_ms)
+        new = self._catalog.apply(changes, now_ms, receipt)
+        if update.after <= before:
+            self._catalog.advance(update.revision)
         else:
-            self._request_news(name)
+            self._request_changes(name)
         if new:
-            self._take(new, name)
-        if news.pass_on:
-            self._pass_on(news, changes)
-        if news.told_near:
-            self._near_told = max(self._near_told, news.revision)
+            self._handle_changes(new, name)
+        if update.pass_on:
+            self._pass_on(update, changes)
+        if update.told_near:
+            self._near_sent_revision = max(
+                self._near_sent_revision, update.revision
+            )
         if any(isinstance(c, catalog.TargetChange) for c in new):
             self._on_named(name)
 
     def _pass_on(
-        self, news: fleet_messages.CatalogNews, changes: list[catalog.Change]
+        self, update: fleet_messages.CatalogNews, changes: list[catalog.Change]
     ) -> None:
-        """Tells the entries near, also of what was heard elsewhere before.
+        """Forwards changes to the entries of the own region.
 
-        Not of what another one told all of them.
+        Changes are forwarded even if this entry already had them, unless
+        another entry has sent them to the whole region.
         """
-        if all(change.revision <= self._near_told for change in changes):
+        if all(
+            change.revision <= self._near_sent_revision for change in changes
+        ):
             return
         packed = catalog_news.pack(self._aged(changes))
-        self._tell_near(
-            msgspec.structs.replace(news, changes=packed, pass_on=False)
+        self._send_near(
+            msgspec.structs.replace(update, changes=packed, pass_on=False)
         )
 
-    def _tell_near(self, news: fleet_messages.CatalogNews) -> None:
-        self._near_told = max(self._near_told, news.revision)
-        told = msgspec.structs.replace(news, told_near=True)
-        self._sync.send_all(self._near_entries(), told)
+    def _send_near(self, update: fleet_messages.CatalogNews) -> None:
+        self._near_sent_revision = max(
+            self._near_sent_revision, update.revision
+        )
+        sent = msgspec.structs.replace(update, told_near=True)
+        self._sync.send_all(self._near_entries(), sent)
 
     def tell(self, name: str, after: int) -> None:
-        """Tells an entry what changed after a revision."""
+        """Sends an entry the changes after a revision."""
         changes = self._catalog.changes_after(after, self._clock.now_ms())
-        self._sync.send(name, self._news(after, changes))
+        self._sync.send(name, self._make_update(after, changes))
 
     def note_store(self, bound_ms: float, silent_ms: float | None) -> None:
-        """Notices a store that serves no entry.
+        """Records whether the store serves any entry.
 
         Args:
-          bound_ms: time after its naming from which a version binds.
-          silent_ms: when the last call was sent that it gave no answer to,
-            None if it serves one.
+          bound_ms: time after its announcement from which a version is
+            mandatory.
+          silent_ms: when the last unanswered call to the store was sent,
+            None if the store serves an entry.
         """
         down = silent_ms is not None
         if silent_ms is not None:
@@ -144,20 +168,24 @@
             if self._sync.is_near(entry)
         ]
 
-    def _relays(self) -> list[str]:
-        """Returns the entries that pass changes on elsewhere."""
-        by_place: dict[str, list[str]] = {}
+    def _relays_elsewhere(self) -> list[str]:
+        """Returns the entries that forward changes in other regions."""
+        by_data_centre: dict[str, list[str]] = {}
         for entry in self._sync.alive(members.MemberKind.ENTRY):
             if not self._sync.is_near(entry):
-                by_place.setdefault(entry.data_centre, []).append(entry.vm_id)
+                by_data_centre.setdefault(entry.data_centre, []).append(
+                    entry.vm_id
+                )
         key = f"relay\0{self._sync.roster.own.vm_id}"
         return [
             relay
-            for vm_ids in by_place.values()
+            for vm_ids in by_data_centre.values()
             for relay in rendezvous.subset(key, vm_ids, RELAYS)
         ]
 
-    def _take(self, changes: list[catalog.Change], source: str) -> None:
+    def _handle_changes(
+        self, changes: list[catalog.Change], source: str
+    ) -> None:
         for change in changes:
             catalog_log.log_change(
                 change, source, self._catalog, self._clock.now_ms()
@@ -167,18 +195,19 @@
     def _completed(
         self, after: int, changes: list[catalog.Change]
     ) -> list[catalog.Change]:
-        """Returns changes as of now, and what else changed after a revision.
+        """Returns changes with current ages, and all others after a revision.
 
-        What others told of beyond a gap is known here and not new.
+        Changes that other entries sent from beyond a gap are already in the
+        catalog, so that the store reader does not report them as new.
         """
-        told = {catalog.item_of(change) for change in changes}
+        sent = {catalog.item_of(change) for change in changes}
         others = self._catalog.changes_after(after, self._clock.now_ms())
         return self._aged(changes) + [
-            change for change in others if catalog.item_of(change) not in told
+            change for change in others if catalog.item_of(change) not in sent
         ]
 
     def _aged(self, changes: list[catalog.Change]) -> list[catalog.Change]:
-        """Returns changes in which named weights have their ages as of now."""
+        """Returns changes with the current ages of their versions."""
         now_ms = self._clock.now_ms()
         return [
             self._catalog.aged_change(change, now_ms)
@@ -187,7 +216,7 @@
             for change in changes
         ]
 
-    def _request_news(self, name: str) -> None:
+    def _request_changes(self, name: str) -> None:
         now_ms = self._clock.now_ms()
         first = self._catalog.revision == 0
         pause_ms = FIRST_REQUEST_NEWS_MS if first else REQUEST_NEWS_MS
@@ -197,7 +226,7 @@
         after = self._catalog.revision
         self._sync.send(name, fleet_messages.CatalogRequest(after=after))
 
-    def _news(
+    def _make_update(
         self, after: int, changes: list[catalog.Change]
     ) -> fleet_messages.CatalogNews:
         return fleet_messages.CatalogNews(
--- a/src/marlramp/direct/fleet/entry_contacts.py
+++ b/src/marlramp/direct/fleet/entry_contacts.py
@@ -1,7 +1,8 @@
 """An agent's view of the other processes: its entries and other agents.
 
-An agent knows only the entries that it deals with. They name themselves and
-the other agents to it; while none does, it greets the seeds.
+An agent knows only a few entries, those that it exchanges messages with. Its
+coordinators send it the list of these entries and of its neighbouring agents.
+While it receives nothing from a coordinator, it contacts the seeds.
 """
 
 from __future__ import annotations
@@ -19,23 +20,24 @@
 from marlramp.settings import node
 
 GREET_MS = 1_000.0
-"""Between two greetings while no entry guides this agent."""
+"""Interval between introductions while the agent has no coordinator."""
 
 PLACE_MS = 500.0
-"""Least time between two changes of the other agents: several entries tell of
-the same ones, and each change has the draws of pieces divided anew."""
+"""Minimum interval between two changes of the neighbours. Several coordinators
+report the same neighbours, and each change reassigns the pieces to fetch from
+the origin."""
 
 _SEED = "seed:"
 
 
 class _View(msgspec.Struct):
-    """What one entry names.
+    """The entries and agents that one coordinator listed.
 
     Attributes:
-      heard_ms: when it was last heard.
-      number: number of its last message, 0 before the first.
-      entries: the entries that it names.
-      agents: the agents that it names.
+      heard_ms: when the agent last received something from the coordinator.
+      number: number of the last list applied, 0 before the first.
+      entries: the entries that the agent exchanges messages with.
+      agents: the neighbouring agents, by VM.
     """
 
     heard_ms: float
@@ -45,7 +47,7 @@
 
 
 class EntryContacts:
-    """Keeps links to the entries that an agent deals with."""
+    """Keeps links to the entries that an agent exchanges messages with."""
 
     def __init__(
         self,
@@ -56,15 +58,16 @@
         on_entries: Callable[[dict[str, members.Member]], None],
         time: clock.Clock,
     ) -> None:
-        """Knows no entry until the seeds answer.
+        """Starts without any entry.
 
         Args:
           own: this agent.
           incarnation: its incarnation, higher than that of any earlier
             process on the VM.
-          seeds: entries to greet first, possibly down.
-          on_agents: takes the other agents, by VM, when they changed.
-          on_entries: takes the entries dealt with, by VM, when they changed.
+          seeds: entries to contact first; some may be down.
+          on_agents: called with the neighbouring agents, by VM, when they
+            changed.
+          on_entries: called with the entries, by VM, when they changed.
           time: the clock.
         """
         self._own = members.MemberUpdate(
@@ -79,39 +82,42 @@
         self._entries: dict[str, members.Member] = {}
         self._agents: dict[str, members.Member] = {}
         self._changed = False
-        self._placed_ms = float("-inf")
-        self._greeted_ms = float("-inf")
+        self._merged_ms = float("-inf")
+        self._contacted_ms = float("-inf")
 
     def attach(self, links: member_sync.Links) -> None:
-        """Takes the links to send on."""
+        """Sets the links to send messages on."""
         self._links = links
 
     def set_seeds(self, seeds: list[node.Address]) -> None:
-        """Takes other seeds."""
+        """Replaces the seeds."""
         self._seeds = seeds
 
     def set_engine(self, *, present: bool) -> None:
-        """Tells the entries whether the engine beside this agent answers."""
+        """Announces whether the engine beside this agent responds."""
         state = members.MemberState.STARTING
         if present:
             state = members.MemberState.READY
         if state is not self._own.state:
-            self._raise(self._own.incarnation + 1, state)
+            self._announce(self._own.incarnation + 1, state)
 
     @property
     def guided(self) -> bool:
-        """Whether any entry was heard lately."""
+        """Whether any coordinator counts as alive."""
         horizon_ms = self._clock.now_ms() - members.ALIVE_TO_AGENT_MS
         return any(view.heard_ms >= horizon_ms for view in self._views.values())
 
     @property
     def guides(self) -> list[str]:
-        """The entries that told this agent something lately."""
+        """VMs of the coordinators that this agent received something from.
+
+        Silent ones are removed by `tick`.
+        """
         return list(self._views)
 
     @property
     def entries(self) -> list[str]:
-        """The entries that this agent deals with."""
+        """VMs of the entries that this agent exchanges messages with."""
         return list(self._entries)
 
     def broadcast(
@@ -119,11 +125,11 @@
         message: msgspec.Struct,
         within: Callable[[members.Member], bool] = lambda _: True,
     ) -> None:
-        """Sends to the entries that this agent deals with.
+        """Sends a message to this agent's entries.
 
         Args:
           message: the message.
-          within: tells which of them it is for.
+          within: returns whether an entry is to receive the message.
         """
         encoded = codec.encode_once(message)
         for vm_id, entry in self._entries.items():
@@ -131,73 +137,77 @@
                 self._open_links().send_encoded(vm_id, encoded)
 
     def tick(self) -> None:
-        """Greets seeds while alone and takes over what changed."""
+        """Contacts seeds if no coordinator is alive, and applies changes.
+
+        When the last coordinator falls silent, its lists stay in use.
+        """
         now_ms = self._clock.now_ms()
         horizon_ms = now_ms - members.ALIVE_TO_AGENT_MS
         for vm_id, view in list(self._views.items()):
             if view.heard_ms < horizon_ms:
                 del self._views[vm_id]
                 self._changed = bool(self._views)
-        if not self._views and now_ms - self._greeted_ms >= GREET_MS:
-            self._greeted_ms = now_ms
-            self._greet_seeds()
+        if not self._views and now_ms - self._contacted_ms >= GREET_MS:
+            self._contacted_ms = now_ms
+            self._contact_seeds()
             for entry in self._entries.values():
-                self._greet(entry)
-        if self._changed and now_ms - self._placed_ms >= PLACE_MS:
-            self._placed_ms = now_ms
+                self._introduce(entry)
+        if self._changed and now_ms - self._merged_ms >= PLACE_MS:
+            self._merged_ms = now_ms
             self._changed = False
-            self._place()
+            self._merge_views()
 
     def on_message(self, name: str, message: fleet_messages.FromMember) -> None:
-        """Takes a message of an entry about members."""
+        """Handles a message from an entry."""
         now_ms = self._clock.now_ms()
         match message:
             case fleet_messages.Hello():
                 if name.startswith(_SEED):
-                    # The seed has a name now; under it it tells the rest.
+                    # The seed introduced itself: its link is named by VM from
+                    # now on.
                     self._open_links().close(name)
-                    self._greet(message.news.member)
+                    self._introduce(message.news.member)
             case fleet_messages.MembersNews():
-                self._contradict(message.news)
+                self._refute(message.news)
             case fleet_messages.Neighbours():
-                self._take_neighbours(name, message, now_ms)
+                self._handle_neighbours(name, message, now_ms)
             case fleet_messages.Guide():
-                self._take_guide(name, message, now_ms)
+                self._handle_guide(name, message, now_ms)
 
-    def _take_guide(
+    def _handle_guide(
         self, name: str, guide: fleet_messages.Guide, now_ms: clock.Millis
     ) -> None:
         view = self._views.setdefault(name, _View(now_ms, agents={}))
         view.heard_ms = now_ms
         if guide.neighbours != view.number:
-            self._ask_all(name)
+            self._request_all(name)
 
-    def _take_neighbours(
+    def _handle_neighbours(
         self,
         name: str,
-        news: fleet_messages.Neighbours,
+        update: fleet_messages.Neighbours,
         now_ms: clock.Millis,
     ) -> None:
         view = self._views.setdefault(name, _View(now_ms, agents={}))
         view.heard_ms = now_ms
-        if news.after not in (0, view.number):
-            self._ask_all(name)
+        if update.after not in (0, view.number):
+            self._request_all(name)
             return
-        agents = {} if news.after == 0 else view.agents
-        for agent in news.joined:
+        agents = {} if update.after == 0 else view.agents
+        for agent in update.joined:
             agents[agent.vm_id] = agent
-        for vm_id in news.left:
+        for vm_id in update.left:
             agents.pop(vm_id, None)
-        view.number = news.number
+        view.number = update.number
         view.agents = agents
-        view.entries = news.entries
+        view.entries = update.entries
         self._changed = True
 
-    def _ask_all(self, name: str) -> None:
+    def _request_all(self, name: str) -> None:
         self._open_links().send(name, fleet_messages.NeighboursRequest())
 
-    def _place(self) -> None:
-        """Takes over what the entries heard name between them."""
+    def _merge_views(self) -> None:
+        """Applies the union of what the coordinators listed."""
         entries: dict[str, members.Member] = {}
         agents: dict[str, members.Member] = {}
         for view in self._views.values():
@@ -205,12 +215,12 @@
             agents.update(view.agents)
         agents.pop(self._own.vm_id, None)
         if entries:
-            self._link(entries)
+            self._set_entries(entries)
         if agents != self._agents:
             self._agents = agents
             self._on_agents(agents)
 
-    def _link(self, entries: dict[str, members.Member]) -> None:
+    def _set_entries(self, entries: dict[str, members.Member]) -> None:
         before = self._entries
         self._entries = entries
         for vm_id in sorted(before.keys() - entries.keys()):
@@ -218,33 +228,33 @@
             logs.log("entry_left", vm=vm_id)
         for vm_id, entry in entries.items():
             if before.get(vm_id) != entry:
-                self._greet(entry)
+                self._introduce(entry)
                 logs.log("entry_joined", vm=vm_id)
         if before != entries:
             self._on_entries(entries)
 
-    def _contradict(self, news: list[members.MemberUpdate]) -> None:
-        """Raises the incarnation if this agent is taken as lost."""
-        for each in news:
+    def _refute(self, updates: list[members.MemberUpdate]) -> None:
+        """Raises the incarnation if this agent is considered lost."""
+        for each in updates:
             if each.vm_id == self._own.vm_id and each.replaces(self._own):
-                self._raise(each.incarnation + 1, self._own.state)
+                self._announce(each.incarnation + 1, self._own.state)
 
-    def _raise(self, incarnation: int, state: members.MemberState) -> None:
+    def _announce(self, incarnation: int, state: members.MemberState) -> None:
         self._own = members.MemberUpdate(self._own.member, incarnation, state)
-        self.broadcast(self._hello())
+        self.broadcast(self._introduction())
 
-    def _greet(self, entry: members.Member) -> None:
+    def _introduce(self, entry: members.Member) -> None:
         links = self._open_links()
         links.open(entry.vm_id, entry.host, entry.port)
-        links.send(entry.vm_id, self._hello())
+        links.send(entry.vm_id, self._introduction())
 
-    def _greet_seeds(self) -> None:
+    def _contact_seeds(self) -> None:
         for seed in self._seeds:
             name = f"{_SEED}{seed}"
             self._open_links().open(name, seed.host, seed.port)
-            self._open_links().send(name, self._hello())
+            self._open_links().send(name, self._introduction())
 
-    def _hello(self) -> fleet_messages.Hello:
+    def _introduction(self) -> fleet_messages.Hello:
         return fleet_messages.Hello(news=self._own, sample=[], reply=True)
 
     def _open_links(self) -> member_sync.Links:
--- a/src/marlramp/direct/fleet/entry_fleet.py
+++ b/src/marlramp/direct/fleet/entry_fleet.py
@@ -1,4 +1,4 @@
-"""An entry's dealings with the other processes of the system."""
+"""Connects the parts of an entry that exchange state with other processes."""
 
 from __future__ import annotations
 
@@ -35,8 +35,8 @@
 from marlramp.protocol import fleet_messages
 from marlramp.settings import node
 
-STANDBY_ASK_MS = 500.0
-"""Between two questions of an entry that may stand in for a reader."""
+STANDBY_QUERY_MS = 500.0
+"""Interval between two queries of an entry that is a standby of a reader."""
 
 OnChanges: TypeAlias = Callable[[list[catalog.Change]], None]
 OnGone: TypeAlias = Callable[[list[str]], None]
@@ -45,7 +45,7 @@
 
 
 class EntryFleet:
-    """Wires what entries and agents tell one another."""
+    """Dispatches the messages between this entry and other processes."""
 
     def __init__(
         self,
@@ -62,7 +62,7 @@
         totals: counters.Counters,
         time: clock.Clock,
     ) -> None:
-        """Knows no other process before links are attached.
+        """Starts without links; `attach` sets them.
 
         Args:
           own: this entry.
@@ -70,12 +70,13 @@
           settings: the settings in force.
           known: the catalog.
           table: the replicas.
-          crashes: what is known of requests that crash replicas.
-          on_changes: takes changes of the catalog.
-          on_gone: takes ids of replicas that are gone or started again.
-          on_cell: takes the addresses of the VMs whose engines belong to the
-            cell, when they changed.
-          on_leaving: takes a replica that its agent reports to leave.
+          crashes: the record of requests that crash replicas.
+          on_changes: called with changes of the catalog.
+          on_gone: called with the ids of replicas that are gone or restarted.
+          on_cell: called with the addresses of the VMs whose engines belong
+            to the cell, when they changed.
+          on_leaving: called with a replica whose agent reports that it is
+            leaving.
           totals: counters.
           time: the clock.
         """
@@ -91,7 +92,7 @@
         self._reader: store_reader.StoreReader | None = None
         self._beacon_ms = float("-inf")
         self._beacon_failing = False
-        self._duty = reader_election.ReaderElection(
+        self._election = reader_election.ReaderElection(
             own.vm_id,
             own.data_centre,
             time.now_ms(),
@@ -109,8 +110,8 @@
         self._ages = version_ages.VersionAges(
             known, self.sync.send, self._age_peers, time
         )
-        self._standby_asked_ms = float("-inf")
-        self._silence = outage_detector.OutageDetector()
+        self._standby_query_ms = float("-inf")
+        self._outage_detector = outage_detector.OutageDetector()
         self._rng = random.Random()
         self._catalog_sync = catalog_sync.CatalogSync(
             known, self.sync, self._changed, time, self._ages.note_news
@@ -154,33 +155,33 @@
         reader: store_reader.StoreReader,
         make_origin: Callable[[str], version_digests.Origin],
     ) -> None:
-        """Takes the outside.
+        """Sets the links, the store reader and the origin's clients.
 
         Args:
-          links: the links to send on.
+          links: the links to send messages on.
           reader: reads the store.
-          make_origin: makes the client of an origin at "host:port".
+          make_origin: returns a client of an origin at "host:port".
         """
         self._make_origin = make_origin
         self.sync.attach(links)
         self._reader = reader
 
     def set_settings(self, settings: node.NodeSettings) -> None:
-        """Takes changed bounds and seeds."""
+        """Applies changed bounds and seeds."""
         self._version_bound_ms = settings.bounds.version_ms
         self.sync.set_seeds(settings.seeds)
 
     async def exchange_loads(self) -> None:
-        """Tells the entries of the cell of changed loads, for ever."""
+        """Sends changed loads to the entries of the cell; never returns."""
         await self._load_exchange.run()
 
     async def relay_pieces(self) -> None:
-        """Holds pieces of named weights for the agents near, for ever."""
+        """Relays pieces of target weights to near agents; never returns."""
         await self._relay.run()
 
     @property
     def entries(self) -> int:
-        """The most entries known lately, itself too."""
+        """Number of entries in the roster, with this and recently lost ones."""
         return self.sync.roster.count(members.MemberKind.ENTRY)
 
     def is_near_vm(self, vm_id: str) -> bool:
@@ -189,28 +190,33 @@
         return record is not None and self.sync.is_near(record.update.member)
 
     def ready_entries(self) -> list[members.Member]:
-        """Returns the other entries that take callers."""
+        """Returns the other entries that accept callers."""
         return self.sync.entries_in_state(members.MemberState.READY)
 
     def forget(self, replica_ids: list[str]) -> None:
-        """Drops what is kept of replicas that are gone."""
+        """Drops the state of replicas that are gone."""
         self._load_exchange.forget(replica_ids)
         self.limits.forget(replica_ids)
 
-    # Who reads the store, and what follows from it.
+    # Reading the store.
 
     def is_reader(self) -> bool:
-        """Returns whether this entry is to watch the store."""
+        """Returns whether this entry is elected to watch the store."""
         if self.sync.roster.own.state is members.MemberState.LEAVING:
             return False
-        return self._duty.is_reader(self._staying(), self._clock.now_ms())
+        return self._election.is_reader(self._staying(), self._clock.now_ms())
 
     def publish(self, after: int, changes: list[catalog.Change]) -> None:
-        """Takes changes read from the store and tells the others."""
+        """Sends changes that were read from the store to the other entries.
+
+        Args:
+          after: revision of the catalog before the changes.
+          changes: the changes, already in the catalog.
+        """
         self._catalog_sync.publish(after, changes)
 
     def _staying(self) -> dict[str, str]:
-        """Returns the data centre of each other entry that stays."""
+        """Returns the data centre of each other entry that is not leaving."""
         leaving = {
             member.vm_id
             for member in self.sync.entries_in_state(
@@ -228,26 +234,26 @@
         self._on_changes(changes)
         if any(not isinstance(c, catalog.ReplicaChange) for c in changes):
             self._guide.tell_all()
-            self._take_origin()
+            self._apply_origin()
             self._relay.look()
 
-    def _take_origin(self) -> None:
-        """Takes the origin that the configuration names."""
+    def _apply_origin(self) -> None:
+        """Applies the origin of the configuration if it changed."""
         address = self._relay_surroundings.origin()
         if address and address != self._origin:
             self._origin = address
             self._relay.set_origin(self._make_origin(address))
 
-    # When versions were named.
+    # Times at which versions were announced.
 
     def _age_peers(self) -> list[str]:
-        """Returns an entry to ask when versions were named.
+        """Returns an entry to query for the ages of versions.
 
-        The readers ask each other: what both know bounds it better than what
-        one of them does.
+        The readers query each other, because the knowledge of both gives
+        tighter bounds than that of one.
         """
         now_ms = self._clock.now_ms()
-        names = self._duty.working_readers(now_ms)
+        names = self._election.working_readers(now_ms)
         reading = self._reader is not None and self._reader.reading
         if not reading or not names:
             alive = self.sync.alive(members.MemberKind.ENTRY)
@@ -270,33 +276,37 @@
             )
         self.sync.send(name, answer)
 
-    def _take_ages(self, name: str, answer: fleet_messages.VersionAges) -> None:
-        asked_ms = self._ages.on_answer(name, answer)
-        if asked_ms is not None:
-            self._silence.record_answer(asked_ms, self._clock.now_ms())
+    def _handle_ages(
+        self, name: str, answer: fleet_messages.VersionAges
+    ) -> None:
+        requested_ms = self._ages.on_answer(name, answer)
+        if requested_ms is not None:
+            self._outage_detector.record_answer(
+                requested_ms, self._clock.now_ms()
+            )
         age_ms = answer.complete_age_ms
-        if asked_ms is None or age_ms is None or self._reader is None:
+        if requested_ms is None or age_ms is None or self._reader is None:
             return
         if not age_ms >= 0.0:
             return
         complete = store_completeness.CompleteRevision(
-            answer.complete_revision, asked_ms - age_ms
+            answer.complete_revision, requested_ms - age_ms
         )
         self._reader.completeness.record_report(complete)
 
-    def _ask_readers(self) -> None:
-        """Asks what the store holds, if this entry may have to stand in."""
+    def _query_readers(self) -> None:
+        """Queries the readers whose standby this entry is."""
         now_ms = self._clock.now_ms()
-        if now_ms - self._standby_asked_ms < STANDBY_ASK_MS:
+        if now_ms - self._standby_query_ms < STANDBY_QUERY_MS:
             return
-        self._standby_asked_ms = now_ms
-        for name in self._duty.readers_to_query(self._staying()):
+        self._standby_query_ms = now_ms
+        for name in self._election.readers_to_query(self._staying()):
             self._ages.ask(name)
 
     # Messages.
 
     def on_message(self, name: str, message: fleet_messages.FromMember) -> None:
-        """Takes a message of another process."""
+        """Handles a message from another process."""
         if self.sync.on_message(name, message):
             return
         if isinstance(message, fleet_messages.FromAgentPeer):
@@ -308,7 +318,7 @@
         match message:
             case fleet_messages.StoreBeacon():
                 now_ms = self._clock.now_ms()
-                self._duty.record_beacon(
+                self._election.record_beacon(
                     name, message.store_age_ms, now_ms, served=message.served
                 )
                 self.on_revision(name, message.revision)
@@ -319,7 +329,7 @@
             case fleet_messages.VersionAgesRequest():
                 self._answer_ages(name, message)
             case fleet_messages.VersionAges():
-                self._take_ages(name, message)
+                self._handle_ages(name, message)
             case fleet_messages.CrashNews():
                 self._crash_sync.on_news(message)
             case fleet_messages.CrashRequest():
@@ -338,9 +348,9 @@
                 self._guide.tell(name)
 
     def _on_engine(
-        self, report: replica_view.LoadReport, told_ms: float
+        self, report: replica_view.LoadReport, reported_ms: float
     ) -> None:
-        restarted = self._table.handle_report(report, clock.Millis(told_ms))
+        restarted = self._table.handle_report(report, clock.Millis(reported_ms))
         for replica_id in restarted:
             logs.log(
                 "replica_restarted",
@@ -355,53 +365,53 @@
                     self._on_leaving(view)
 
     def tell_crashes(self) -> None:
-        """Tells the others of a crash that was noticed here."""
+        """Announces a crash that this entry noticed."""
         self._crash_sync.tell_soon()
 
-    # What the members ask for.
+    # Interface for `MemberSync`.
 
     @property
     def revision(self) -> int:
-        """Revision up to which the catalog is known here."""
+        """Revision up to which this entry's catalog is complete."""
         return self._catalog.revision
 
     @property
     def crash_digest(self) -> int:
-        """Digest of the crashes known here."""
+        """Digest of the crashes that this entry knows."""
         return self._crash_sync.digest
 
     def on_crash_digest(self, name: str, digest: int) -> None:
-        """Takes the digest of the crashes that another entry knows."""
+        """Handles the digest of the crashes that another entry knows."""
         self._crash_sync.on_digest(name, digest)
 
     @property
     def limit_digest(self) -> int:
-        """Digest of the replicas known to name a limit."""
+        """Digest of the rate limits that this entry knows."""
         return self.limits.digest
 
     def on_limit_digest(self, name: str, digest: int) -> None:
-        """Takes the digest of the limits that another entry knows."""
+        """Handles the digest of the rate limits that another entry knows."""
         self.limits.on_digest(name, digest)
 
     def on_member(self, member: members.Member) -> None:
-        """Tells an agent that introduced itself what it needs to know."""
+        """Sends an agent that introduced itself what it needs to know."""
         if member.kind is members.MemberKind.AGENT:
             self._guide.tell(member.vm_id)
 
     def on_revision(self, name: str, revision: int) -> None:
-        """Takes the revision that another entry knows."""
+        """Handles the revision of another entry's catalog."""
         reading = self._reader is not None and self._reader.keeps_up
         self._catalog_sync.on_revision(name, revision, reading=reading)
 
     # Regular work.
 
     def tick(self) -> None:
-        """Does what is due."""
+        """Does all periodic work that is due."""
         self.sync.tick()
-        self._note_store()
-        self._ask_beside_store()
+        self._record_store_state()
+        self._query_while_store_silent()
         self._ages.tick(self._version_bound_ms)
-        self._ask_readers()
+        self._query_readers()
         divided = self._placed.refresh()
         if divided:
             self._on_cell(self._placed.cell_hosts())
@@ -411,37 +421,39 @@
         self.limits.tick()
         self._send_beacon()
 
-    def _note_store(self) -> None:
+    def _record_store_state(self) -> None:
         call = None if self._reader is None else self._reader.silent_call
-        silent_ms = self._silence.outage_sign_ms(call)
+        silent_ms = self._outage_detector.outage_sign_ms(call)
         if silent_ms is not None:
             alive = self.sync.alive(members.MemberKind.ENTRY)
             others = {member.vm_id for member in alive}
             now_ms = self._clock.now_ms()
-            if not self._duty.store_serves_none(others, now_ms):
+            if not self._election.store_serves_none(others, now_ms):
                 silent_ms = None
         self._catalog_sync.note_store(self._version_bound_ms, silent_ms)
 
-    def _ask_beside_store(self) -> None:
-        """Asks another entry while the store does not answer.
+    def _query_while_store_silent(self) -> None:
+        """Queries another entry while the store does not respond.
 
-        One elsewhere if there is any, as the link of a whole region may be
-        full.
+        The answer shows whether this entry's own link works. An entry in
+        another region is preferred, because the link of the whole own region
+        may be saturated.
         """
-        asked_ms = None if self._reader is None else self._reader.retried_ms
+        requested_ms = None if self._reader is None else self._reader.retried_ms
         now_ms = self._clock.now_ms()
-        if not self._silence.is_query_due(asked_ms, now_ms):
+        if not self._outage_detector.is_query_due(requested_ms, now_ms):
             return
         alive = self.sync.alive(members.MemberKind.ENTRY)
         far = [each for each in alive if not self.sync.is_near(each)]
-        asked = far or alive
-        if asked:
-            self._ages.ask(self._rng.choice(asked).vm_id)
+        candidates = far or alive
+        if candidates:
+            self._ages.ask(self._rng.choice(candidates).vm_id)
 
     def _send_beacon(self) -> None:
-        """Tells all entries that this one watches the store, if it does.
+        """Sends all entries a beacon while this entry watches the store.
 
-        That the store fails it is told at once, so that others stand in.
+        A failure of the store is reported immediately, so that standbys take
+        over.
         """
         reader = self._reader
         now_ms = self._clock.now_ms()
--- a/src/marlramp/direct/fleet/member_sync.py
+++ b/src/marlramp/direct/fleet/member_sync.py
@@ -1,8 +1,9 @@
-"""This entry's part in keeping all entries' rosters alike.
+"""Synchronises the rosters of the entries (a gossip membership protocol).
 
-Greets seeds, asks a few others whether they are there, passes news on, and
-compares rosters where they differ. Its traffic does not grow with the number
-of members, but for the news of those that come and go.
+An entry introduces itself to the seeds, probes a few other entries, forwards
+updates on members, and compares rosters that differ. Its traffic does not grow
+with the number of members, except for the updates on members that join and
+leave.
 """
 
 from __future__ import annotations
@@ -25,91 +26,94 @@
 from marlramp.settings import node
 
 SEED_RETRY_MS = 1_000.0
-"""Between two greetings of the seeds while no other entry is alive."""
+"""Interval between introductions to all seeds while no other entry is alive."""
 
 SEED_CHECK_MS = 5_000.0
-"""Between two greetings of one seed otherwise: parts of the fleet that lost
-sight of each other meet again there."""
+"""Interval between introductions to one seed otherwise, through which the parts
+of a partitioned fleet find each other again."""
 
 COMPARE_MS = 1_000.0
-"""Between two requests for members that the own roster lacks."""
+"""Minimum interval between two requests for members that the roster lacks."""
 
 COMPARE_STARTING_MS = 250.0
-"""The same in the first seconds of a process: 130 members come in three
-answers."""
+"""Minimum interval between two requests for members while a process starts. The
+answers are limited in size: 130 members arrive in three of them."""
 
 STARTING_MS = 5_000.0
+"""Time after its start during which a process requests members more often."""
 
 FAR_COMPARE_SHARE = 0.2
-"""Part of the differences to entries of other regions that are looked into:
-those to near ones show the same, and cost no bytes between regions."""
+"""Share of the differences from rosters of other regions that lead to a
+request. Rosters of the own region show the same differences, and requests for
+them cause no traffic between regions."""
 
 SAMPLE = 6
-"""Members named in the answer to an introduction."""
+"""Number of members listed in the answer to an introduction."""
 
 CONTRADICTION_MS = 400.0
-"""Between two times that one process is told that it is taken as lost."""
+"""Minimum interval between two reports to a process that it is considered
+suspect, down or of a newer incarnation."""
 
 _SEED = "seed:"
 
 
 class Links(Protocol):
-    """Links to other processes, by name."""
+    """Links to other processes, identified by name."""
 
     def open(self, name: str, host: str, port: int) -> bool:
         """Opens a link; returns False if it is open already."""
         ...
 
     def close(self, name: str) -> None:
-        """Closes a link that was opened here."""
+        """Closes a link that this process opened."""
         ...
 
     def send(self, name: str, message: msgspec.Struct) -> bool:
-        """Sends a message; returns whether a link took it."""
+        """Sends a message; returns whether a link accepted it."""
         ...
 
     def send_encoded(self, name: str, message: codec.Encoded) -> bool:
-        """Sends an encoded message; returns whether a link took it."""
+        """Sends an encoded message; returns whether a link accepted it."""
         ...
 
 
-class Surroundings(Protocol):
-    """The rest of the entry."""
+class EntryState(Protocol):
+    """The rest of the entry, as `MemberSync` uses it."""
 
     @property
     def revision(self) -> int:
-        """Revision up to which the catalog is known here."""
+        """Revision up to which this entry's catalog is complete."""
         ...
 
     @property
     def crash_digest(self) -> int:
-        """Digest of the crashes known here."""
+        """Digest of the crashes that this entry knows."""
         ...
 
     def on_crash_digest(self, name: str, digest: int) -> None:
-        """Takes the digest of the crashes that another entry knows."""
+        """Handles the digest of the crashes that another entry knows."""
         ...
 
     @property
     def limit_digest(self) -> int:
-        """Digest of the replicas known to name a limit."""
+        """Digest of the rate limits that this entry knows."""
         ...
 
     def on_limit_digest(self, name: str, digest: int) -> None:
-        """Takes the digest of the limits that another entry knows."""
+        """Handles the digest of the rate limits that another entry knows."""
         ...
 
     def on_member(self, member: members.Member) -> None:
-        """Takes a member that introduced itself anew."""
+        """Handles a member that is new, restarted or requests an answer."""
         ...
 
     def on_revision(self, name: str, revision: int) -> None:
-        """Takes the revision that another entry knows."""
+        """Handles the revision of another entry's catalog."""
         ...
 
 
 class MemberSync:
-    """Knows the members and keeps links to those that are needed."""
+    """Tracks the members of the fleet and opens links to entries."""
 
     def __init__(
         self,
@@ -117,63 +121,63 @@
         incarnation: int,
         seeds: list[node.Address],
         near: Collection[str],
-        surroundings: Surroundings,
+        entry: EntryState,
         time: clock.Clock,
         rng: random.Random,
     ) -> None:
-        """Knows only itself until the seeds answer.
+        """Starts with a roster that holds no other member.
 
         Args:
           own: this process.
           incarnation: its incarnation, see `roster.Roster`.
-          seeds: entries to greet first, possibly down.
+          seeds: entries to contact first; some may be down.
           near: data centres of the own region.
-          surroundings: the rest of the entry.
+          entry: the rest of the entry.
           time: the clock.
-          rng: draws whom to ask and tell.
+          rng: picks the entries to probe and to send updates to.
         """
         self.roster = roster.Roster(own, incarnation)
         self._own = own
         self._seeds = seeds
         self._near = near
-        self._surroundings = surroundings
+        self._entry = entry
         self._clock = time
         self._rng = rng
         self._prober = prober.Prober(self.roster, near, rng)
-        self._rumours: gossip.GossipQueue[members.MemberUpdate] = (
+        self._gossip_queue: gossip.GossipQueue[members.MemberUpdate] = (
             gossip.GossipQueue()
         )
         self._links: Links | None = None
         self._started_ms = time.now_ms()
         self._compared_ms = float("-inf")
         self._seeds_ms = float("-inf")
-        self._contradicted_ms: dict[str, float] = {}
-        self._asked_for: dict[str, set[str]] = {}
+        self._reported_ms: dict[str, float] = {}
+        self._probe_requesters: dict[str, set[str]] = {}
         self._lost: set[str] = set()
 
     def attach(self, links: Links) -> None:
-        """Takes the links to send on."""
+        """Sets the links to send messages on."""
         self._links = links
 
     def set_seeds(self, seeds: list[node.Address]) -> None:
-        """Takes other seeds."""
+        """Replaces the seeds."""
         self._seeds = seeds
 
     def set_state(self, state: members.MemberState) -> None:
-        """Takes this process's state and tells the others if it changed."""
+        """Sets this process's state and announces it if it changed."""
         if self.roster.set_own_state(state):
-            self._pass_on(self.roster.own, self._clock.now_ms())
+            self._queue_update(self.roster.own, self._clock.now_ms())
 
-    # Who is there.
+    # Members.
 
     def alive(self, kind: members.MemberKind) -> list[members.Member]:
-        """Returns the other members of a kind that are there, by VM."""
+        """Returns the other members of a kind that are alive, ordered by VM."""
         return self.roster.alive(kind, self._clock.now_ms())
 
     def entries_in_state(
         self, state: members.MemberState
     ) -> list[members.Member]:
-        """Returns the other entries that are there and in a state, by VM."""
+        """Returns the other entries alive and in a state, ordered by VM."""
         return [
             member
             for member in self.alive(members.MemberKind.ENTRY)
@@ -191,7 +195,11 @@
     # Sending.
 
     def send(self, vm_id: str, message: msgspec.Struct) -> bool:
-        """Sends to one member; opens a link to an entry if there is none."""
+        """Sends a message to a member; opens a missing link to an entry.
+
+        Returns:
+          Whether a link accepted the message.
+        """
         links = self._open_links()
         if links.send(vm_id, message):
             return True
@@ -205,7 +213,7 @@
         return links.send(vm_id, message)
 
     def send_all(self, vm_ids: Iterable[str], message: msgspec.Struct) -> None:
-        """Sends to some members."""
+        """Sends a message to members; opens missing links to entries."""
         encoded = codec.encode_once(message)
         links = self._open_links()
         for vm_id in vm_ids:
@@ -220,19 +228,19 @@
                 links.send_encoded(vm_id, encoded)
 
     def suspect(self, vm_id: str) -> None:
-        """Suspects a member that fell silent and tells the others."""
+        """Suspects a silent member and announces it, also to the member."""
         now_ms = self._clock.now_ms()
-        news = self.roster.suspect(vm_id, now_ms)
-        if news is not None:
-            self._pass_on(news, now_ms)
-            self.send(vm_id, fleet_messages.MembersNews(news=[news]))
+        update = self.roster.suspect(vm_id, now_ms)
+        if update is not None:
+            self._queue_update(update, now_ms)
+            self.send(vm_id, fleet_messages.MembersNews(news=[update]))
 
     # Regular work.
 
     def tick(self) -> None:
-        """Asks, tells and greets whoever is to be; logs who came or went."""
+        """Sends the probes, updates and introductions that are due."""
         now_ms = self._clock.now_ms()
-        self._greet_seeds(now_ms)
+        self._contact_seeds(now_ms)
         for action in self._prober.tick(now_ms):
             match action:
                 case prober.DirectProbe():
@@ -243,35 +251,35 @@
                 case prober.Suspect():
                     self.suspect(action.vm_id)
         for vm_id in self.roster.tick(now_ms):
-            self._contradicted_ms.pop(vm_id, None)
-        self._note_lost()
-        self._spread(now_ms)
+            self._reported_ms.pop(vm_id, None)
+        self._update_lost()
+        self._send_gossip(now_ms)
 
-    def _pass_on(
-        self, news: members.MemberUpdate, now_ms: clock.Millis
+    def _queue_update(
+        self, update: members.MemberUpdate, now_ms: clock.Millis
     ) -> None:
-        self._rumours.add(news.vm_id, news, now_ms)
+        self._gossip_queue.add(update.vm_id, update, now_ms)
 
-    def _spread(self, now_ms: clock.Millis) -> None:
-        news = self._rumours.next_batch(now_ms)
-        if news:
-            self.send_some(fleet_messages.MembersNews(news=news))
+    def _send_gossip(self, now_ms: clock.Millis) -> None:
+        updates = self._gossip_queue.next_batch(now_ms)
+        if updates:
+            self.send_some(fleet_messages.MembersNews(news=updates))
 
     def send_some(self, message: msgspec.Struct) -> None:
-        """Sends news to a few entries drawn anew, which pass them on."""
+        """Sends a message to a few random entries (one gossip cycle)."""
         entries = self.alive(members.MemberKind.ENTRY)
         near = [entry.vm_id for entry in entries if self.is_near(entry)]
         far = [entry.vm_id for entry in entries if not self.is_near(entry)]
-        targets = self._draw(near, gossip.NEAR_TARGETS)
+        targets = self._sample(near, gossip.NEAR_TARGETS)
         missing = gossip.NEAR_TARGETS - len(targets)
-        targets += self._draw(far, gossip.FAR_TARGETS + missing)
+        targets += self._sample(far, gossip.FAR_TARGETS + missing)
         self.send_all(targets, message)
 
-    def _draw(self, vm_ids: list[str], count: int) -> list[str]:
+    def _sample(self, vm_ids: list[str], count: int) -> list[str]:
         return self._rng.sample(vm_ids, min(count, len(vm_ids)))
 
-    def _note_lost(self) -> None:
-        """Logs who came and went, and closes links to those that are down."""
+    def _update_lost(self) -> None:
+        """Logs members that went down or came up, and closes links."""
         lost = {
             record.update.vm_id
             for record in self.roster.records()
@@ -288,7 +296,12 @@
     # Messages.
 
     def on_message(self, name: str, message: fleet_messages.FromMember) -> bool:
-        """Takes a message; returns whether it was about members alone."""
+        """Handles a message if it is about members.
+
+        Returns:
+          Whether the message was about members. Any other message is only
+          recorded as a sign of life of its sender.
+        """
         now_ms = self._clock.now_ms()
         if isinstance(message, fleet_messages.Hello):
             self._on_hello(name, message, now_ms)
@@ -301,10 +314,10 @@
             case fleet_messages.Ack():
                 self._on_ack(name, message, now_ms)
                 return True
-        self._note_heard(name, now_ms)
+        self._record_message(name, now_ms)
         match message:
             case fleet_messages.MembersNews():
-                self._take(message.news, now_ms)
+                self._apply_all(message.news, now_ms)
                 return True
             case fleet_messages.ProbeRequest():
                 self._on_probe_request(name, message.vm_id)
@@ -318,7 +331,10 @@
         return False
 
     def _known_name(self, name: str) -> str:
-        """Returns the VM at the other end of a link to a seed, if known."""
+        """Returns the VM to which a link leads, its name if that is unknown.
+
+        Links to seeds are named by address until the seed introduces itself.
+        """
         if not name.startswith(_SEED):
             return name
         for record in self.roster.records():
@@ -332,116 +348,118 @@
     ) -> None:
         member = hello.news.member
         if name.startswith(_SEED):
-            # The seed has a name now, under which it gets a link of its own.
+            # The seed introduced itself: from now on, its link is named by VM.
             self._open_links().close(name)
         if member.vm_id == self._own.vm_id:
             return
         known = self.roster.get(member.vm_id)
         new = known is None or known.update.incarnation < hello.news.incarnation
-        self._take_direct(hello.news, now_ms)
+        self._apply_direct(hello.news, now_ms)
         if hello.reply:
-            self.send(member.vm_id, self._hello(reply=False))
-        self._take(hello.sample, now_ms)
+            self.send(member.vm_id, self._introduction(reply=False))
+        self._apply_all(hello.sample, now_ms)
         if new or hello.reply:
-            self._surroundings.on_member(member)
+            self._entry.on_member(member)
 
     def _on_ping(
         self, name: str, ping: fleet_messages.Ping, now_ms: clock.Millis
     ) -> None:
-        if not self._take_summary(name, ping, now_ms):
-            self._open_links().send(name, self._hello(reply=True))
+        if not self._apply_summary(name, ping, now_ms):
+            self._open_links().send(name, self._introduction(reply=True))
             return
         ack = fleet_messages.Ack(
             incarnation=self.roster.own.incarnation,
             state=self.roster.own.state,
             digest=self.roster.digest(),
-            revision=self._surroundings.revision,
-            crash_digest=self._surroundings.crash_digest,
-            limit_digest=self._surroundings.limit_digest,
+            revision=self._entry.revision,
+            crash_digest=self._entry.crash_digest,
+            limit_digest=self._entry.limit_digest,
         )
         self.send(name, ack)
 
     def _on_ack(
         self, name: str, ack: fleet_messages.Ack, now_ms: clock.Millis
     ) -> None:
-        if not self._take_summary(name, ack, now_ms):
+        if not self._apply_summary(name, ack, now_ms):
             return
-        for asker in self._asked_for.pop(name, ()):
-            self.send(asker, fleet_messages.ProbeReply(vm_id=name))
+        for sender in self._probe_requesters.pop(name, ()):
+            self.send(sender, fleet_messages.ProbeReply(vm_id=name))
         self._compare(name, ack.digest, now_ms)
 
-    def _take_summary(
+    def _apply_summary(
         self,
         name: str,
         summary: fleet_messages.Ping | fleet_messages.Ack,
         now_ms: clock.Millis,
     ) -> bool:
-        """Takes what an entry tells of itself; returns False if unknown."""
+        """Applies an entry's summary of itself; returns False if unknown."""
         record = self.roster.get(name)
         if record is None:
             return False
-        news = members.MemberUpdate(
+        update = members.MemberUpdate(
             record.update.member, summary.incarnation, summary.state
         )
-        self._take_direct(news, now_ms)
-        self._surroundings.on_revision(name, summary.revision)
-        self._surroundings.on_crash_digest(name, summary.crash_digest)
-        self._surroundings.on_limit_digest(name, summary.limit_digest)
+        self._apply_direct(update, now_ms)
+        self._entry.on_revision(name, summary.revision)
+        self._entry.on_crash_digest(name, summary.crash_digest)
+        self._entry.on_limit_digest(name, summary.limit_digest)
         return True
 
-    def _on_probe_request(self, asker: str, vm_id: str) -> None:
+    def _on_probe_request(self, sender: str, vm_id: str) -> None:
         if self.roster.get(vm_id) is not None:
-            self._asked_for.setdefault(vm_id, set()).add(asker)
+            self._probe_requesters.setdefault(vm_id, set()).add(sender)
             self.send(vm_id, self._ping())
 
     def _on_roster_request(
         self, name: str, request: fleet_messages.RosterRequest
     ) -> None:
-        news = self.roster.in_buckets(self.roster.differing(request.digests))
-        chosen = self._rng.sample(news, min(gossip.BATCH_MAX, len(news)))
+        updates = self.roster.in_buckets(self.roster.differing(request.digests))
+        chosen = self._rng.sample(updates, min(gossip.BATCH_MAX, len(updates)))
         if chosen:
             self.send(name, fleet_messages.MembersNews(news=chosen))
 
-    def _take(
-        self, news: Iterable[members.MemberUpdate], now_ms: clock.Millis
+    def _apply_all(
+        self, updates: Iterable[members.MemberUpdate], now_ms: clock.Millis
     ) -> None:
-        for each in news:
-            passed_on = self.roster.apply(each, now_ms)
-            if passed_on is not None:
-                self._pass_on(passed_on, now_ms)
+        for each in updates:
+            forwarded = self.roster.apply(each, now_ms)
+            if forwarded is not None:
+                self._queue_update(forwarded, now_ms)
 
-    def _take_direct(
-        self, news: members.MemberUpdate, now_ms: clock.Millis
+    def _apply_direct(
+        self, update: members.MemberUpdate, now_ms: clock.Millis
     ) -> None:
-        known = self.roster.get(news.vm_id)
-        if known is not None and news.incarnation < known.update.incarnation:
-            # Its clock went back before it started: it is to rise above what
-            # is known of its earlier process.
-            self._contradict(known, now_ms)
-        passed_on = self.roster.apply_direct(news, now_ms)
-        if passed_on is not None:
-            self._pass_on(passed_on, now_ms)
-
-    def _note_heard(self, name: str, now_ms: clock.Millis) -> None:
-        """Records a sign of life; asks one that is taken as lost to object."""
+        known = self.roster.get(update.vm_id)
+        if known is not None and update.incarnation < known.update.incarnation:
+            # The clock of its VM was set back before it started. It must raise
+            # its incarnation above that of its earlier process.
+            self._report_record(known, now_ms)
+        forwarded = self.roster.apply_direct(update, now_ms)
+        if forwarded is not None:
+            self._queue_update(forwarded, now_ms)
+
+    def _record_message(self, name: str, now_ms: clock.Millis) -> None:
+        """Records a sign of life; reports to the member if it is held lost."""
         record = self.roster.record_message(name, now_ms)
         if record is None:
             return
         state = record.update.state
         if state in (members.MemberState.SUSPECT, members.MemberState.DOWN):
-            self._contradict(record, now_ms)
+            self._report_record(record, now_ms)
 
-    def _contradict(self, record: roster.Record, now_ms: clock.Millis) -> None:
-        """Tells a process what is believed of it, for it to object."""
+    def _report_record(
+        self, record: roster.Record, now_ms: clock.Millis
+    ) -> None:
+        """Sends a process the record of it, so that it refutes the record."""
         vm_id = record.update.vm_id
-        last_ms = self._contradicted_ms.get(vm_id, float("-inf"))
+        last_ms = self._reported_ms.get(vm_id, float("-inf"))
         if now_ms - last_ms >= CONTRADICTION_MS:
-            self._contradicted_ms[vm_id] = now_ms
+            self._reported_ms[vm_id] = now_ms
             message = fleet_messages.MembersNews(news=[record.update])
             self.send(vm_id, message)
 
     def _compare(self, name: str, digest: int, now_ms: clock.Millis) -> None:
-        """Asks for what another roster has and the own has not."""
+        """Requests the members that another roster has and this one lacks."""
         if digest == self.roster.digest():
             return
         starting = now_ms - self._started_ms < STARTING_MS
@@ -460,8 +478,8 @@
 
     # Introductions.
 
-    def _greet_seeds(self, now_ms: clock.Millis) -> None:
-        """Greets all seeds while alone, and one of them now and then."""
+    def _contact_seeds(self, now_ms: clock.Millis) -> None:
+        """Introduces itself to all seeds while alone, otherwise to one."""
         since_ms = now_ms - self._seeds_ms
         if since_ms < SEED_RETRY_MS:
             return
@@ -476,10 +494,10 @@
         for seed in seeds:
             name = f"{_SEED}{seed}"
             self._open_links().open(name, seed.host, seed.port)
-            self._open_links().send(name, self._hello(reply=True))
+            self._open_links().send(name, self._introduction(reply=True))
 
-    def _hello(self, *, reply: bool) -> fleet_messages.Hello:
-        """Returns an introduction; one that asks for none names some others."""
+    def _introduction(self, *, reply: bool) -> fleet_messages.Hello:
+        """Returns an introduction; an answer lists some other entries too."""
         sample: list[members.MemberUpdate] = []
         if not reply:
             known = [
@@ -498,9 +516,9 @@
             incarnation=self.roster.own.incarnation,
             state=self.roster.own.state,
             digest=self.roster.digest(),
-            revision=self._surroundings.revision,
-            crash_digest=self._surroundings.crash_digest,
-            limit_digest=self._surroundings.limit_digest,
+            revision=self._entry.revision,
+            crash_digest=self._entry.crash_digest,
+            limit_digest=self._entry.limit_digest,
         )
 
     def _open_links(self) -> Links:
--- a/src/marlramp/direct/fleet/store_reader.py
+++ b/src/marlramp/direct/fleet/store_reader.py
@@ -1,8 +1,9 @@
-"""Keeps the catalog in step with the store, directly or through others.
+"""Reads and watches the store while this entry is elected to.
 
-Calls to the store are limited and paid for, so only a few entries watch it
-and tell the others. An entry that hears of no working reader reads for
-itself, as does one that was cut off from the others.
+Calls to the store are rate-limited and billed, so only a few entries watch it
+and send the changes to the others. An entry that receives no beacon of a
+working reader reads the store itself, as does one that is partitioned from the
+others.
 """
 
 from __future__ import annotations
@@ -27,39 +28,44 @@
 from marlramp.platform import store
 
 WATCH_WAIT_MS = 1_000.0
-"""A watch is answered at least this often, which shows that the store and the
-way to it work."""
+"""Maximum wait of a watch. Its answer shows that the store and the path to it
+work."""
 
 FIRST_WAIT_MS = 1.0
-"""Wait of the first watch of a process that did not read for a while."""
+"""Wait of the first watch after a pause or a failed call."""
 
 PAUSED_MS = 2.0 * WATCH_WAIT_MS
-"""A process that got no answer of the store for this long did not read."""
+"""Time since the state of the store was last read after which reading counts as
+paused."""
 
 BATCH_MS = 60.0
-"""Pause between two watches, so that changes in a row cost one call."""
+"""Pause after a watch that returned changes, so that changes in quick
+succession cost one call."""
 
 RETRY_MIN_MS = 150.0
 RETRY_MAX_MS = 600.0
-"""Pause after a failed call, drawn between the two."""
+"""Range of the random pause after a failed call."""
 
 BEHIND_MS = WATCH_WAIT_MS + store.WATCH_MARGIN_MS
-"""A call that takes longer than this has a long answer arriving; the reader
-hears from others meanwhile."""
+"""A call that takes longer than this is still receiving a large answer. In the
+meantime the reader requests changes from other entries."""
 
 IDLE_MS = 100.0
-"""Between two looks at whether this process is to read."""
+"""Interval between two checks whether this process is elected to read."""
 
 
 class StoreSource(Protocol):
-    """A store that can be read and watched."""
+    """Client of a store that can be read and watched."""
 
     async def read_all(self) -> catalog.Snapshot:
-        """Returns all that the store holds for the system."""
+        """Returns everything that the store holds for the system."""
         ...
 
     async def watch(self, after: int, wait_ms: float) -> catalog.Snapshot:
-        """Waits for changes after a revision."""
+        """Returns the changes after a revision.
+
+        Waits up to `wait_ms` until there are any.
+        """
         ...
 
 
@@ -67,11 +73,11 @@
 
 
 class StoreReader:
-    """Reads the store while it is this process's turn.
+    """Reads the store while this process is elected to.
 
     Attributes:
-      reading: whether it is.
-      completeness: what the store is known to have held in all.
+      reading: whether this process is elected to read the store.
+      completeness: the revision up to which the store is known, and when.
     """
 
     def __init__(
@@ -83,13 +89,14 @@
         totals: counters.Counters,
         time: clock.Clock,
     ) -> None:
-        """Applies what it reads to `known`.
+        """Creates a reader that applies changes to `known`.
 
         Args:
           source: the store.
           known: the catalog of this process.
-          is_reader: tells whether this process is to read now.
-          publish: takes the revision before and the changes that were new.
+          is_reader: returns whether this process is elected to read now.
+          publish: called with the catalog's revision before the changes, and
+            with the changes that were new.
           totals: counters.
           time: the clock.
         """
@@ -102,14 +109,18 @@
         self._answered_ms: float | None = None
         self._failing = False
         self._reads_all = False
-        self._asked_ms: float | None = None
+        self._requested_ms: float | None = None
         self._silent_call: outage_detector.SilentCall | None = None
         self.completeness = store_completeness.StoreCompleteness()
         self.reading = False
 
     @property
     def age_ms(self) -> float | None:
-        """Time since the store last answered at most, None if it never did."""
+        """Time since the store last answered, None if it never did.
+
+        While a large answer is arriving, the value is at most the longest time
+        that may pass without any byte of the answer.
+        """
         if self._answered_ms is None:
             return None
         age_ms = self._clock.now_ms() - self._answered_ms
@@ -119,36 +130,39 @@
 
     @property
     def failing(self) -> bool:
-        """Whether the last call failed, or its answer is long in arriving."""
+        """Whether the last call failed or a large answer is still arriving."""
         return self._failing or self._has_more_arriving
 
     @property
     def keeps_up(self) -> bool:
-        """Whether it reads, and its last call was answered in time."""
+        """Whether the store is read and answered the last call in time."""
         return self.reading and not self.failing
 
     @property
     def silent_call(self) -> outage_detector.SilentCall | None:
-        """The last call that the store gave no answer to.
+        """The last call that the store did not answer.
 
-        None if it has answered since.
+        None if the store has answered a later call.
         """
         return self._silent_call
 
     @property
     def retried_ms(self) -> float | None:
-        """When the call was sent that is under way after one that failed."""
-        return self._asked_ms if self._failing else None
+        """When the current call was sent, if the previous call failed."""
+        return self._requested_ms if self._failing else None
 
     @property
     def _has_more_arriving(self) -> bool:
-        """Whether a call goes on for so long because its answer arrives."""
-        if self._asked_ms is None:
+        """Whether a large answer to the current call is arriving.
+
+        A watch that lasts this long without any answer times out.
+        """
+        if self._requested_ms is None:
             return False
-        return self._clock.now_ms() - self._asked_ms > BEHIND_MS
+        return self._clock.now_ms() - self._requested_ms > BEHIND_MS
 
     async def run(self) -> None:
-        """Reads for ever, as long as it is this process's turn."""
+        """Reads the store while this process is elected to; never returns."""
         while True:
             self.reading = self._is_reader()
             if not self.reading:
@@ -169,33 +183,33 @@
             return
         after = self._catalog.revision
         self._totals.add(counters.CounterName.PLATFORM_READS, "watch")
-        asked_ms = self._clock.now_ms()
-        # After a pause of reading an answer at once shows what the store holds.
-        paused = asked_ms - self.completeness.own.at_ms > PAUSED_MS
-        hurries = paused or self._failing
-        wait_ms = FIRST_WAIT_MS if hurries else WATCH_WAIT_MS
-        with self._asking(asked_ms):
+        requested_ms = self._clock.now_ms()
+        # After a pause, a short wait shows early what the store holds.
+        paused = requested_ms - self.completeness.own.at_ms > PAUSED_MS
+        answer_early = paused or self._failing
+        wait_ms = FIRST_WAIT_MS if answer_early else WATCH_WAIT_MS
+        with self._pending_call(requested_ms):
             snapshot = await self._source.watch(after, wait_ms)
         now_ms = self._answered()
-        # Others may have told of changes while the watch waited.
+        # Other entries may have sent changes while the watch waited.
         before = self._catalog.revision
         new = self._catalog.apply(self._aged(snapshot, now_ms), now_ms)
         self._catalog.advance(snapshot.revision)
         if new:
-            self._log_changes(snapshot, asked_ms, now_ms)
-        waited = now_ms - asked_ms >= wait_ms
+            self._log_changes(snapshot, requested_ms, now_ms)
+        waited = now_ms - requested_ms >= wait_ms
         if waited and not snapshot.changes and snapshot.revision == after:
-            self.completeness.record_empty_watch(after, asked_ms, wait_ms)
+            self.completeness.record_empty_watch(after, requested_ms, wait_ms)
         else:
-            self.completeness.record_read(snapshot.revision, asked_ms)
+            self.completeness.record_read(snapshot.revision, requested_ms)
         if new:
             self._publish(before, new)
             await asyncio.sleep(BATCH_MS / clock.MILLIS_PER_SECOND)
 
     async def _read_all(self) -> None:
         self._totals.add(counters.CounterName.PLATFORM_READS, "read")
-        asked_ms = self._clock.now_ms()
-        with self._asking(asked_ms):
+        requested_ms = self._clock.now_ms()
+        with self._pending_call(requested_ms):
             snapshot = await self._source.read_all()
         now_ms = self._answered()
         before = self._catalog.revision
@@ -208,7 +222,7 @@
         )
         aged = catalog.Snapshot(snapshot.revision, self._aged(snapshot, now_ms))
         new = self._catalog.apply_snapshot(aged, now_ms)
-        self.completeness.record_read(snapshot.revision, asked_ms)
+        self.completeness.record_read(snapshot.revision, requested_ms)
         if new:
             self._publish(before, new)
 
@@ -223,7 +237,7 @@
         if self._failing or self._answered_ms is None:
             logs.log("store_reached", revision=self._catalog.revision)
         if self._failing:
-            # The store came back after the last call that failed.
+            # The store may have been unavailable until this answer.
             self._catalog.record_store_failure(now_ms)
         self._failing = False
         self._silent_call = None
@@ -233,7 +247,7 @@
     def _aged(
         self, snapshot: catalog.Snapshot, now_ms: clock.Millis
     ) -> list[catalog.Change]:
-        """Returns the changes read, named weights with their ages."""
+        """Returns the changes of a snapshot with the ages of its versions."""
         return [
             msgspec.structs.replace(
                 change, ages=self.completeness.ages(change.revision, now_ms)
@@ -246,7 +260,7 @@
     def _log_changes(
         self,
         snapshot: catalog.Snapshot,
-        asked_ms: clock.Millis,
+        requested_ms: clock.Millis,
         now_ms: clock.Millis,
     ) -> None:
         unseen_ms = None
@@ -257,19 +271,20 @@
             "store_changes",
             revision=snapshot.revision,
             items=len(snapshot.changes),
-            answer_ms=round(now_ms - asked_ms),
+            answer_ms=round(now_ms - requested_ms),
             unseen_ms=unseen_ms,
         )
 
     @contextlib.contextmanager
-    def _asking(self, asked_ms: clock.Millis) -> Iterator[None]:
-        """Notes a call that is not answered as a sign of an outage.
+    def _pending_call(self, requested_ms: clock.Millis) -> Iterator[None]:
+        """Records an unanswered call as a sign of an outage.
 
-        It shows how the store was when it was sent; one that is answered in
-        part shows a link that is full. The first one of several may have gone
-        out on a connection that had fallen silent, the next one has not.
+        The sign holds for the time at which the call was sent. A call that is
+        answered in part is no sign of an outage, but of a saturated link. The
+        first failed call does not count, because it may have been sent on a
+        connection that had stopped working; the next call uses a new one.
         """
-        self._asked_ms = asked_ms
+        self._requested_ms = requested_ms
         try:
             yield
         except clients.PausedError:
@@ -277,17 +292,18 @@
         except clients.PlatformError as error:
             if self._failing and not error.answering:
                 self._silent_call = outage_detector.SilentCall(
-                    asked_ms, self._clock.now_ms()
+                    requested_ms, self._clock.now_ms()
                 )
             raise
         finally:
-            self._asked_ms = None
+            self._requested_ms = None
 
     async def _wait_after(self, error: clients.PlatformError) -> None:
         if not self._failing:
             logs.log("store_lost", detail=error)
         self._failing = True
-        # What is missing is less than all, unless that can't be had.
+        # Reading only the missing changes transfers less than reading all, so
+        # all is read only if the answer to a watch was unusable.
         if isinstance(error, clients.UselessAnswerError):
             self._reads_all = True
         self._totals.add(counters.CounterName.PLATFORM_READS, "failed")
--- a/src/marlramp/direct/fleet/version_ages.py
+++ b/src/marlramp/direct/fleet/version_ages.py
@@ -1,10 +1,10 @@
-"""Finds out when versions of weights were named, by asking other processes.
+"""Determines when versions of weights were announced, by querying processes.
 
-News of a version tell that it was named, not when: nothing bounds how long
-they were on their way. The answer to an own question does, by the time that
-the question and its answer took together. While it matters, a process goes on
-asking, and what the answers allow is intersected: one that comes at once makes
-up for others that wait behind something large.
+An update that arrives unrequested proves that a version was announced, but not
+when, because nothing bounds its path latency. The answer to a query bounds the
+time by the round trip of the query. A process repeats the query while a better
+bound matters, and intersects the intervals that the answers give: one fast
+answer makes up for others that were queued behind a large message.
 """
 
 from __future__ import annotations
@@ -22,32 +22,32 @@
 from marlramp.protocol import fleet_messages
 
 WAY_MAX_MS = 4_000.0
-"""Longest time that news are assumed to be on their way, until an answer shows
-it: a link on which nothing is acknowledged for 2.5 s ends, and a message waits
+"""Assumed maximum path latency of an update until an answer bounds it. A link
+on which nothing is acknowledged for 2.5 s is closed, and a message waits up to
 1.5 s for a link to open."""
 
 ASK_MS = 400.0
-"""Between two questions while the age of a version is in doubt."""
+"""Interval between two queries while the age of a version is uncertain."""
 
 ANSWERS_MAX = 6
-"""Answers after which a version is not asked for any more. Those that rest on
-an assumption do not count: they correct no other."""
+"""Number of answers after which a version is no longer queried. Answers that
+rest on an assumed path latency do not count, as they cannot correct another."""
 
 DOUBT_MS = 30.0
-"""Doubt that no further question is worth."""
+"""Uncertainty of the time of an announcement that needs no further query."""
 
 NUMBER_BITS = 48
-"""Size of the number of a process's first question, which is drawn."""
+"""Size in bits of the random number of a process's first query."""
 
 OPEN_MAX = 64
-"""Questions remembered that got no answer yet, the newest ones."""
+"""Maximum number of unanswered queries kept, the newest ones."""
 
 Send: TypeAlias = Callable[[str, msgspec.Struct], bool]
 Peers: TypeAlias = Callable[[], list[str]]
 
 
 class VersionAges:
-    """Asks others for the ages of versions that this process heard of."""
+    """Queries other processes for the ages of the versions in the catalog."""
 
     def __init__(
         self,
@@ -56,63 +56,65 @@
         peers: Peers,
         time: clock.Clock,
     ) -> None:
-        """Has asked nobody.
+        """Starts without any query.
 
         Args:
           known: holds the versions.
           send: sends a message to a process by name.
-          peers: returns the processes to ask next, besides the one that told
-            of the newest version.
+          peers: returns the processes to query next, besides the one that sent
+            the newest version.
           time: the clock.
         """
         self._catalog = known
         self._send = send
         self._peers = peers
         self._clock = time
-        # Numbers of a process that ran here before must not come again.
+        # An answer to a query of an earlier process on this VM must not match
+        # a query of this one.
         self._number = random.getrandbits(NUMBER_BITS)
-        self._open: dict[int, float] = {}
+        self._pending: dict[int, float] = {}
         self._answers: dict[tuple[str, int], int] = {}
         self._source = ""
-        self._asked_ms = float("-inf")
+        self._requested_ms = float("-inf")
 
     def note_news(self, source: str) -> None:
-        """Takes that a process told of a version; it is asked at once."""
+        """Records which process sent a version, and queries it immediately."""
         self._source = source
-        self._asked_ms = self._clock.now_ms()
+        self._requested_ms = self._clock.now_ms()
         self.ask(source)
 
     def tick(self, bound_ms: float) -> None:
-        """Asks again if that is due.
+        """Repeats the queries if they are due.
 
         Args:
-          bound_ms: time after its naming from which a version binds.
+          bound_ms: time after its announcement from which a version is
+            mandatory.
         """
         now_ms = self._clock.now_ms()
-        if now_ms - self._asked_ms < ASK_MS:
+        if now_ms - self._requested_ms < ASK_MS:
             return
-        in_doubt = self._in_doubt(bound_ms, now_ms)
-        if not in_doubt:
+        uncertain = self._uncertain_versions(bound_ms, now_ms)
+        if not uncertain:
             return
-        self._asked_ms = now_ms
+        self._requested_ms = now_ms
         names = [self._source] if self._source else []
         names.extend(name for name in self._peers() if name not in names)
         for name in names:
             self.ask(name)
 
     def ask(self, name: str) -> None:
-        """Asks one process."""
+        """Sends a query to one process."""
         self._number += 1
-        self._open[self._number] = self._clock.now_ms()
-        while len(self._open) > OPEN_MAX:
-            del self._open[next(iter(self._open))]
+        self._pending[self._number] = self._clock.now_ms()
+        while len(self._pending) > OPEN_MAX:
+            del self._pending[next(iter(self._pending))]
         request = fleet_messages.VersionAgesRequest(number=self._number)
         self._send(name, request)
 
     def answer_to(
         self, request: fleet_messages.VersionAgesRequest
     ) -> fleet_messages.VersionAges:
-        """Returns what this process knows."""
+        """Returns the answer to another process's query."""
         return fleet_messages.VersionAges(
             number=request.number,
             versions=self._catalog.aged_versions(self._clock.now_ms()),
@@ -121,25 +123,25 @@
     def on_answer(
         self, name: str, answer: fleet_messages.VersionAges
     ) -> float | None:
-        """Takes an answer.
+        """Applies the answer to a query to the catalog.
 
         Returns:
-          When its question was sent, None if there is no such question.
+          When the query was sent, None if no query has the answer's number.
         """
-        asked_ms = self._open.pop(answer.number, None)
-        if asked_ms is None:
+        requested_ms = self._pending.pop(answer.number, None)
+        if requested_ms is None:
             return None
         now_ms = self._clock.now_ms()
-        before = self._doubts()
+        before = self._uncertainties()
         for aged in answer.versions:
             if aged.ages is not None and aged.ages.assumed:
                 continue
             named = (aged.model, aged.version)
             self._answers[named] = self._answers.get(named, 0) + 1
-        hearing = event_time.Receipt(asked_ms, now_ms)
-        self._catalog.merge_ages(answer.versions, hearing)
-        for (model, version), doubt_ms in self._doubts().items():
-            if doubt_ms >= before.get((model, version), float("inf")):
+        receipt = event_time.Receipt(requested_ms, now_ms)
+        self._catalog.merge_ages(answer.versions, receipt)
+        for (model, version), uncertainty_ms in self._uncertainties().items():
+            if uncertainty_ms >= before.get((model, version), float("inf")):
                 continue
             catalog_log.log_version(
                 "weights_age",
@@ -147,14 +149,14 @@
                 version,
                 now_ms,
                 source=name,
-                way_ms=round(now_ms - asked_ms),
+                way_ms=round(now_ms - requested_ms),
             )
-        return asked_ms
+        return requested_ms
 
-    def _in_doubt(
+    def _uncertain_versions(
         self, bound_ms: float, now_ms: clock.Millis
     ) -> list[tuple[str, int]]:
-        """Returns the versions whose age is worth a question."""
+        """Returns the versions whose age needs another query."""
         found = [
             (model, named.version)
             for model, known in self._catalog.targets.items()
@@ -165,7 +167,7 @@
             each for each in found if self._answers.get(each, 0) < ANSWERS_MAX
         ]
 
-    def _doubts(self) -> dict[tuple[str, int], float]:
+    def _uncertainties(self) -> dict[tuple[str, int], float]:
         return {
             (model, named.version): named.named.uncertainty_ms
             for model, known in self._catalog.targets.items()
--- a/tests/direct/fleet/test_entry_contacts.py
+++ b/tests/direct/fleet/test_entry_contacts.py
@@ -35,20 +35,20 @@
 
 
 class Agent:
-    """An agent's contacts and the links it has open."""
+    """An agent's contacts, which records its links and callbacks."""
 
     def __init__(self, time: clock.ManualClock) -> None:
         self.time = time
         self.opened: list[str] = []
         self.sent: list[tuple[str, str]] = []
-        self.placed: list[set[str]] = []
-        self.dealt_with: list[set[str]] = []
+        self.reported_neighbours: list[set[str]] = []
+        self.reported_entries: list[set[str]] = []
         self.contacts = entry_contacts.EntryContacts(
             agent(0),
             1,
             [SEED],
-            lambda agents: self.placed.append(set(agents)),
-            lambda entries: self.dealt_with.append(set(entries)),
+            lambda agents: self.reported_neighbours.append(set(agents)),
+            lambda entries: self.reported_entries.append(set(entries)),
             time,
         )
         self.contacts.attach(self)
@@ -69,7 +69,7 @@
         self.sent.append((name, message.kind))
         return name in self.opened
 
-    def told(
+    def list_neighbours(
         self,
         by: int,
         number: int,
@@ -77,7 +77,7 @@
         left: tuple[str, ...] = (),
         entries: tuple[int, ...] = (1, 2),
     ) -> None:
-        """Takes neighbours from an entry and lets them settle."""
+        """Delivers a list of neighbours and waits until it is applied."""
         message = fleet_messages.Neighbours(
             after=number - 1,
             number=number,
@@ -90,7 +90,7 @@
         self.contacts.tick()
 
     def guide(self, by: int, number: int) -> None:
-        """Takes a guide's regular word."""
+        """Delivers a coordinator's periodic message."""
         message = fleet_messages.Guide(
             targets=[],
             engine=None,
@@ -102,7 +102,7 @@
         self.contacts.on_message(f"entry-{by}", message)
 
     def take_sent(self) -> list[tuple[str, str]]:
-        """Returns what was sent and forgets it."""
+        """Returns the messages sent since the last call, by link."""
         sent, self.sent = self.sent, []
         return sent
 
@@ -117,7 +117,7 @@
     return fleet_messages.Hello(news=news, sample=[], reply=False)
 
 
-def test_seed_is_greeted_once_under_its_name(one: Agent) -> None:
+def test_seed_is_contacted_once_by_vm(one: Agent) -> None:
     one.contacts.tick()
     assert one.take_sent() == [(SEED_LINK, "Hello")]
     one.contacts.on_message(SEED_LINK, hello(1))
@@ -127,16 +127,19 @@
     assert one.take_sent() == []
 
 
-def test_agents_come_and_go_by_changes(one: Agent) -> None:
-    one.told(1, 1, [agent(1), agent(2)])
-    one.told(1, 2, [agent(3)], left=("agent-1",))
-    assert one.placed == [{"agent-1", "agent-2"}, {"agent-2", "agent-3"}]
+def test_incremental_changes_of_neighbours_are_applied(one: Agent) -> None:
+    one.list_neighbours(1, 1, [agent(1), agent(2)])
+    one.list_neighbours(1, 2, [agent(3)], left=("agent-1",))
+    assert one.reported_neighbours == [
+        {"agent-1", "agent-2"},
+        {"agent-2", "agent-3"},
+    ]
 
 
-def test_changes_that_were_missed_are_asked_for(one: Agent) -> None:
-    one.told(1, 1, [agent(1)])
+def test_missed_changes_are_requested(one: Agent) -> None:
+    one.list_neighbours(1, 1, [agent(1)])
     one.take_sent()
-    one.told(1, 3, [agent(3)])
+    one.list_neighbours(1, 3, [agent(3)])
     assert ("entry-1", "NeighboursRequest") in one.take_sent()
     one.guide(1, 4)
     assert ("entry-1", "NeighboursRequest") in one.take_sent()
@@ -144,23 +147,23 @@
     assert one.take_sent() == []
 
 
-def test_what_a_silent_guide_named_is_dropped_while_others_speak(
+def test_neighbours_of_a_silent_coordinator_are_dropped_while_others_send(
     one: Agent,
 ) -> None:
-    one.told(1, 1, [agent(1)])
-    one.told(2, 1, [agent(2)])
-    assert one.placed[-1] == {"agent-1", "agent-2"}
+    one.list_neighbours(1, 1, [agent(1)])
+    one.list_neighbours(2, 1, [agent(2)])
+    assert one.reported_neighbours[-1] == {"agent-1", "agent-2"}
     for _ in range(8):
         one.guide(2, 1)
         one.time.advance(members.ALIVE_TO_AGENT_MS / 4)
         one.contacts.tick()
-    assert one.placed[-1] == {"agent-2"}
+    assert one.reported_neighbours[-1] == {"agent-2"}
 
 
-def test_agent_that_nobody_guides_keeps_what_it_knows_and_greets(
+def test_agent_without_coordinator_keeps_neighbours_and_contacts_seeds(
     one: Agent,
 ) -> None:
-    one.told(1, 1, [agent(1)])
+    one.list_neighbours(1, 1, [agent(1)])
     one.take_sent()
     assert one.contacts.guided
     one.time.advance(members.ALIVE_TO_AGENT_MS + 1.0)
@@ -171,27 +174,27 @@
         "entry-1",
         "entry-2",
     }
-    assert one.placed == [{"agent-1"}]
+    assert one.reported_neighbours == [{"agent-1"}]
 
 
-def test_links_to_entries_that_are_not_named_any_more_are_closed(
+def test_links_to_entries_that_are_no_longer_listed_are_closed(
     one: Agent,
 ) -> None:
-    one.told(1, 1, [], entries=(1, 2))
-    one.told(1, 2, [], entries=(1, 3))
+    one.list_neighbours(1, 1, [], entries=(1, 2))
+    one.list_neighbours(1, 2, [], entries=(1, 3))
     assert sorted(one.opened) == ["entry-1", "entry-3"]
 
 
-def test_agent_taken_as_lost_objects(one: Agent) -> None:
-    one.told(1, 1, [])
+def test_agent_considered_lost_refutes_it(one: Agent) -> None:
+    one.list_neighbours(1, 1, [])
     one.take_sent()
     own = members.MemberUpdate(agent(0), 1, members.MemberState.SUSPECT)
     one.contacts.on_message("entry-1", fleet_messages.MembersNews(news=[own]))
     assert one.take_sent() == [("entry-1", "Hello"), ("entry-2", "Hello")]
 
 
-def test_entries_hear_whether_the_engine_answers(one: Agent) -> None:
-    one.told(1, 1, [])
+def test_state_of_the_engine_is_announced_once(one: Agent) -> None:
+    one.list_neighbours(1, 1, [])
     one.take_sent()
     one.contacts.set_engine(present=True)
     one.contacts.set_engine(present=True)
--- a/tests/direct/fleet/test_member_sync.py
+++ b/tests/direct/fleet/test_member_sync.py
@@ -7,21 +7,22 @@
 from tests.direct.fleet import virtual_fleet
 
 KNOWN_DOWN_MS = 3_500.0
-"""Callers are sent to a VM that went down for this long at most."""
+"""Maximum time until every entry knows that a VM is down."""
 
 
 @pytest.mark.parametrize(("count", "regions"), [(6, 3), (24, 3), (100, 5)])
-def test_all_that_start_at_once_know_each_other(
+def test_entries_that_start_together_discover_each_other(
     start_fleet: virtual_fleet.StartFleet, count: int, regions: int
 ) -> None:
     fleet = start_fleet(count, regions)
     assert fleet.time.now_ms() < 3_500.0
     sent = [entry.sent_bytes for entry in fleet.running()]
-    # A list of all sent to each would be 90 bytes x count x count in all.
+    # Sending the complete roster to each entry would cost 90 bytes x count
+    # per entry.
     assert sum(sent) / count < 25_000 + 400 * count
 
 
-def test_what_an_entry_sends_does_not_grow_with_the_fleet(
+def test_traffic_of_an_entry_does_not_grow_with_the_fleet(
     start_fleet: virtual_fleet.StartFleet,
 ) -> None:
     rates = []
@@ -36,7 +37,7 @@
     assert rates[1] < 1.2 * rates[0]
 
 
-def test_one_that_goes_is_known_as_down_everywhere(
+def test_stopped_entry_is_down_to_all_entries(
     start_fleet: virtual_fleet.StartFleet,
 ) -> None:
     fleet = start_fleet(60)
@@ -46,7 +47,7 @@
 
 
 @pytest.mark.parametrize("share", [0.5, 0.9])
-def test_many_that_go_at_once_are_known_as_down(
+def test_many_entries_that_stop_together_are_down_to_all(
     start_fleet: virtual_fleet.StartFleet, share: float
 ) -> None:
     fleet = start_fleet(60)
@@ -57,7 +58,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_lost_messages_take_no_entry_as_down(
+def test_message_loss_marks_no_entry_as_down(
     start_fleet: virtual_fleet.StartFleet, seed: int
 ) -> None:
     fleet = start_fleet(40, seed=seed)
@@ -67,7 +68,7 @@
         assert fleet.agreed()
 
 
-def test_entry_that_some_reach_is_not_taken_as_down(
+def test_entry_reachable_from_some_is_not_marked_as_down(
     start_fleet: virtual_fleet.StartFleet,
 ) -> None:
     fleet = start_fleet(30)
@@ -79,7 +80,7 @@
             assert "entry-0" in fleet.alive_to(entry)
 
 
-def test_entry_cut_off_makes_nobody_believe_that_the_others_are_down(
+def test_isolated_entry_does_not_mark_others_as_down_for_the_rest(
     start_fleet: virtual_fleet.StartFleet,
 ) -> None:
     fleet = start_fleet(40)
@@ -97,7 +98,7 @@
     assert fleet.agreed()
 
 
-def test_region_cut_off_is_found_again(
+def test_region_rejoins_after_a_partition(
     start_fleet: virtual_fleet.StartFleet,
 ) -> None:
     fleet = start_fleet(30)
@@ -112,7 +113,7 @@
     fleet.run_until_agreed(8_000.0)
 
 
-def test_one_that_starts_again_is_known_by_its_new_start(
+def test_restarted_entry_is_known_by_its_new_incarnation(
     start_fleet: virtual_fleet.StartFleet,
 ) -> None:
     fleet = start_fleet(20)
@@ -127,7 +128,7 @@
             assert record.update.incarnation >= 2_000
 
 
-def test_one_whose_clock_went_back_is_heard_all_the_same(
+def test_entry_restarted_with_an_earlier_clock_rejoins(
     start_fleet: virtual_fleet.StartFleet,
 ) -> None:
     fleet = start_fleet(20)
@@ -137,7 +138,7 @@
     fleet.run_until_agreed(5_000.0)
 
 
-def test_entries_meet_though_their_first_seed_is_dead(
+def test_entries_discover_each_other_without_the_first_seed(
     start_fleet: virtual_fleet.StartFleet,
 ) -> None:
     fleet = start_fleet(0)
@@ -146,7 +147,7 @@
     fleet.run_until_agreed(6_000.0)
 
 
-def test_parts_of_a_fleet_that_lost_sight_meet_at_a_seed(
+def test_partitioned_rosters_merge_through_a_seed(
     start_fleet: virtual_fleet.StartFleet,
 ) -> None:
     fleet = start_fleet(12)
@@ -161,7 +162,7 @@
     fleet.run_until_agreed(15_000.0)
 
 
-def test_leaving_is_known_within_a_second(
+def test_leaving_state_spreads_within_a_second(
     start_fleet: virtual_fleet.StartFleet,
 ) -> None:
     fleet = start_fleet(100, 5)
@@ -172,11 +173,11 @@
         entry.sync.roster.in_buckets(range(roster.BUCKETS))
         for entry in fleet.running()
     ]
-    knows = [leaving.sync.roster.own in news for news in states]
+    knows = [leaving.sync.roster.own in updates for updates in states]
     assert sum(knows) >= 97
 
 
-def test_suspicion_ends_without_an_answer_as_down(
+def test_suspect_that_does_not_answer_becomes_down(
     start_fleet: virtual_fleet.StartFleet,
 ) -> None:
     fleet = start_fleet(6)
--- a/tests/direct/fleet/test_store_outage.py
+++ b/tests/direct/fleet/test_store_outage.py
@@ -1,4 +1,4 @@
-"""When an entry takes the store as serving nobody."""
+"""When an entry considers the store unavailable to all entries."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class SilencedReader(store_reader.StoreReader):
-    """A reader whose calls bring nothing, one after the other."""
+    """A reader whose calls all get no response."""
 
     def __init__(self, known: catalog.Catalog, time: clock.Clock) -> None:
         super().__init__(
@@ -49,7 +49,7 @@
             counters.Counters(),
             time,
         )
-        self.asked_ms: float | None = None
+        self.requested_ms: float | None = None
         self.last: outage_detector.SilentCall | None = None
 
     @property
@@ -62,14 +62,14 @@
 
     @property
     def retried_ms(self) -> float | None:
-        return self.asked_ms
+        return self.requested_ms
 
 
 class Links:
-    """Keeps what is sent."""
+    """Records the queries that are sent."""
 
     def __init__(self) -> None:
-        self.asked: list[tuple[str, int]] = []
+        self.queried: list[tuple[str, int]] = []
 
     def open(self, name: str, host: str, port: int) -> bool:
         return True
@@ -79,7 +79,7 @@
 
     def send(self, name: str, message: msgspec.Struct) -> bool:
         if isinstance(message, fleet_messages.VersionAgesRequest):
-            self.asked.append((name, message.number))
+            self.queried.append((name, message.number))
         return True
 
     def send_encoded(self, name: str, message: codec.Encoded) -> bool:
@@ -93,15 +93,15 @@
 
 
 class Entry:
-    """An entry whose own link carries answers after some time."""
+    """An entry that receives answers to its queries after `latency_ms`."""
 
-    def __init__(self, time: clock.ManualClock, way_ms: float) -> None:
+    def __init__(self, time: clock.ManualClock, latency_ms: float) -> None:
         self.time = time
-        self.way_ms = way_ms
+        self.latency_ms = latency_ms
         self.known = catalog.Catalog()
         self.links = Links()
         self.due: list[tuple[float, str, int]] = []
-        self.asked: set[str] = set()
+        self.queried: set[str] = set()
         self.reader = SilencedReader(self.known, time)
         self.fleet = entry_fleet.EntryFleet(
             member("vm-1", "dc-1"),
@@ -121,34 +121,34 @@
         self.known.apply([NAMED], time.now_ms())
 
     def pass_time(self) -> None:
-        """Lets time pass until the next tick; the others are alive."""
+        """Advances the clock by one tick; the other entries are alive."""
         self.time.advance(TICK_MS)
         now_ms = self.time.now_ms()
-        for name, place in (("vm-2", "dc-1"), ("vm-3", "dc-2")):
-            news = members.MemberUpdate(
-                member(name, place), 1, members.MemberState.READY
+        for name, data_centre in (("vm-2", "dc-1"), ("vm-3", "dc-2")):
+            update = members.MemberUpdate(
+                member(name, data_centre), 1, members.MemberState.READY
             )
-            self.fleet.sync.roster.apply_direct(news, now_ms)
+            self.fleet.sync.roster.apply_direct(update, now_ms)
         for due_ms, name, number in list(self.due):
             if due_ms <= now_ms:
                 self.due.remove((due_ms, name, number))
                 answer = fleet_messages.VersionAges(number=number, versions=[])
                 self.fleet.on_message(name, answer)
         self.fleet.tick()
-        for name, number in self.links.asked:
-            self.asked.add(name)
-            self.due.append((now_ms + self.way_ms, name, number))
-        self.links.asked.clear()
-
-    def call_in_vain(self) -> None:
-        """Has a call of the reader bring nothing until it is given up."""
-        asked_ms = self.time.now_ms()
-        self.reader.asked_ms = asked_ms
+        for name, number in self.links.queried:
+            self.queried.add(name)
+            self.due.append((now_ms + self.latency_ms, name, number))
+        self.links.queried.clear()
+
+    def time_out_call(self) -> None:
+        """Lets a call of the reader time out without a response."""
+        requested_ms = self.time.now_ms()
+        self.reader.requested_ms = requested_ms
         for _ in range(round(CALL_MS / TICK_MS)):
             self.pass_time()
-        self.reader.asked_ms = None
+        self.reader.requested_ms = None
         self.reader.last = outage_detector.SilentCall(
-            asked_ms, self.time.now_ms()
+            requested_ms, self.time.now_ms()
         )
         self.pass_time()
 
@@ -163,28 +163,27 @@
         raise NotImplementedError
 
 
-def counts_anew(way_ms: float) -> tuple[bool, set[str]]:
-    """Returns whether a version's time counts anew, and who was asked."""
+def restarts_time(latency_ms: float) -> tuple[bool, set[str]]:
+    """Returns whether a version's time restarts, and the entries queried."""
     time = clock.ManualClock()
-    entry = Entry(time, way_ms)
+    entry = Entry(time, latency_ms)
     named_ms = entry.known.targets["m"].named_ms
     for _ in range(2):
-        entry.call_in_vain()
-    return entry.known.targets["m"].named_ms != named_ms, entry.asked
+        entry.time_out_call()
+    return entry.known.targets["m"].named_ms != named_ms, entry.queried
 
 
-@pytest.mark.parametrize("way_ms", [900.0, 2_600.0])
-def test_full_link_without_an_answer_for_two_calls_is_no_outage(
-    way_ms: float,
+@pytest.mark.parametrize("latency_ms", [900.0, 2_600.0])
+def test_saturated_link_without_response_to_two_calls_is_no_outage(
+    latency_ms: float,
 ) -> None:
-    # Time of versions counted anew, so that the old one was used for too long.
-    anew, _ = counts_anew(way_ms)
-    assert not anew
+    # The time of a version restarted although the store was available, so that
+    # the old version was used for too long.
+    restarted, _ = restarts_time(latency_ms)
+    assert not restarted
 
 
-def test_store_that_is_silent_while_an_entry_elsewhere_answers_is_away() -> (
-    None
-):
-    anew, asked = counts_anew(5.0)
-    assert anew
-    assert asked == {"vm-3"}
+def test_silent_store_is_unavailable_if_an_entry_elsewhere_answers() -> None:
+    restarted, queried = restarts_time(5.0)
+    assert restarted
+    assert queried == {"vm-3"}
--- a/tests/direct/fleet/test_store_reader.py
+++ b/tests/direct/fleet/test_store_reader.py
@@ -41,7 +41,7 @@
 
 
 class FakeStore:
-    """Gives prepared answers; an exception among them is raised."""
+    """Returns prepared answers in order; raises those that are exceptions."""
 
     def __init__(
         self,
@@ -53,15 +53,15 @@
         self.watched: list[int] = []
 
     async def read_all(self) -> catalog.Snapshot:
-        return self._give(self._reads)
+        return self._next(self._reads)
 
     async def watch(self, after: int, wait_ms: float) -> catalog.Snapshot:
         self.watched.append(after)
         if not self._watches:
             await asyncio.sleep(10)
-        return self._give(self._watches)
+        return self._next(self._watches)
 
-    def _give(
+    def _next(
         self, answers: list[catalog.Snapshot | Exception]
     ) -> catalog.Snapshot:
         answer = answers.pop(0)
@@ -73,7 +73,11 @@
 def run_until(
     source: FakeStore, done: Callable[[catalog.Catalog], bool]
 ) -> tuple[catalog.Catalog, list[int]]:
-    """Reads until `done`; returns the catalog and the published revisions."""
+    """Reads until `done`.
+
+    Returns:
+      The catalog, and the revision before each publication.
+    """
     known = catalog.Catalog()
     published: list[int] = []
 
@@ -96,7 +100,7 @@
     return known, published
 
 
-def test_watched_version_has_an_age_and_a_read_one_has_not() -> None:
+def test_only_watched_versions_have_an_age() -> None:
     first = catalog.Snapshot(3, [catalog.TargetChange(2, TARGET)])
     newer = fleet.WeightsTarget(model="m", version=3)
     second = catalog.Snapshot(5, [catalog.TargetChange(5, newer)])
@@ -109,7 +113,7 @@
     assert published == [0, 3]
 
 
-def test_lost_history_is_read_anew() -> None:
+def test_everything_is_read_again_after_the_history_is_lost() -> None:
     source = FakeStore(
         [catalog.Snapshot(3, []), catalog.Snapshot(40, [])],
         [store.HistoryGoneError("gone")],
@@ -118,7 +122,7 @@
     assert source.watched[0] == 3
 
 
-def test_reader_comes_back_after_failures() -> None:
+def test_reader_recovers_after_failures() -> None:
     source = FakeStore(
         [clients.PlatformError("down"), catalog.Snapshot(3, [])],
         [clients.PlatformError("down"), catalog.Snapshot(9, [])],
@@ -126,9 +130,7 @@
     run_until(source, lambda c: c.revision == 9)
 
 
-def test_version_found_after_an_outage_has_the_greatest_age_it_may_have() -> (
-    None
-):
+def test_version_found_after_an_outage_has_its_maximum_age() -> None:
     source = FakeStore(
         reads=[catalog.Snapshot(1, [])],
         watches=[
@@ -142,7 +144,7 @@
 
 
 class ScriptedStore:
-    """Answers watches by functions of the wait that they ask for."""
+    """Answers each watch by a function of the requested wait."""
 
     def __init__(self, *answers: Callable[[float], Answer]) -> None:
         self._answers = list(answers)
@@ -210,7 +212,7 @@
 def read(
     source: ScriptedStore, known: catalog.Catalog, run_s: float
 ) -> store_reader.StoreReader:
-    """Reads for some time."""
+    """Runs a reader for a given time."""
     reader = store_reader.StoreReader(
         source,
         known,
@@ -229,7 +231,7 @@
     return reader
 
 
-def test_wait_that_brought_nothing_is_no_doubt_of_what_comes_next() -> None:
+def test_empty_watch_bounds_the_age_of_the_next_version() -> None:
     known = catalog.Catalog()
     read(ScriptedStore(nothing(1), version(2)), known, 1.3)
     named = known.targets["m"].named[-1].named
@@ -237,7 +239,7 @@
     assert named.uncertainty_ms < 500.0
 
 
-def test_version_comes_between_two_answers_of_the_store() -> None:
+def test_version_is_dated_between_two_answers_of_the_store() -> None:
     known = catalog.Catalog()
     read(ScriptedStore(nothing(1), version(2, 0.3)), known, 1.5)
     named = known.targets["m"].named[-1].named
@@ -245,9 +247,7 @@
     assert 300.0 <= named.uncertainty_ms < 800.0
 
 
-def test_version_that_was_there_before_gets_no_age_by_a_second_reading() -> (
-    None
-):
+def test_second_complete_read_gives_a_known_version_no_age() -> None:
     change = catalog.TargetChange(2, TARGET)
     source = FakeStore(
         reads=[catalog.Snapshot(2, [change]), catalog.Snapshot(2, [change])],
@@ -257,14 +257,14 @@
     assert known.targets["m"].named_ms is None
 
 
-def test_answer_that_has_begun_is_no_sign_of_an_outage() -> None:
+def test_partial_answer_is_no_sign_of_an_outage() -> None:
     known = catalog.Catalog()
     source = FailingStore(failure(answering=True), answering=True)
     assert read(source, known, 1.0).silent_call is None
 
 
-def test_reader_that_gets_no_whole_answer_does_not_keep_up() -> None:
-    # One that took itself for a reader all the same knew nothing for 19.6 s.
+def test_reader_without_a_complete_answer_does_not_keep_up() -> None:
+    # A reader that counted as keeping up learned of no change for 19.6 s.
     source = FailingStore(failure(answering=True), answering=True)
     assert not read(source, catalog.Catalog(), 0.3).keeps_up
     assert read(ScriptedStore(), catalog.Catalog(), 0.1).keeps_up
@@ -278,7 +278,7 @@
     assert reader.silent_call.ended_ms >= reader.silent_call.requested_ms
 
 
-def test_call_that_was_not_made_is_no_sign_of_an_outage() -> None:
+def test_skipped_call_is_no_sign_of_an_outage() -> None:
     async def paused(_wait_ms: float) -> catalog.Snapshot:
         raise clients.PausedError("it asked for a pause", 3_000.0)
 
@@ -295,7 +295,7 @@
     ],
     ids=["too many calls", "call that is not made", "malformed"],
 )
-def test_whole_answer_or_call_not_made_is_no_sign_of_an_outage(
+def test_complete_answer_or_skipped_call_is_no_sign_of_an_outage(
     error: clients.PlatformError,
 ) -> None:
     async def answer(_wait_ms: float) -> catalog.Snapshot:
@@ -305,8 +305,8 @@
     assert read(ScriptedStore(answer), known, 0.1).silent_call is None
 
 
-class GoneStore(ScriptedStore):
-    """Has dropped its history, and takes long to tell all that it holds."""
+class TrimmedStore(ScriptedStore):
+    """Has dropped its history, and answers a second complete read slowly."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -322,11 +322,11 @@
         raise store.HistoryGoneError("gone")
 
 
-def test_history_that_is_gone_is_no_sign_of_an_outage() -> None:
-    assert read(GoneStore(), catalog.Catalog(), 0.1).silent_call is None
+def test_dropped_history_is_no_sign_of_an_outage() -> None:
+    assert read(TrimmedStore(), catalog.Catalog(), 0.1).silent_call is None
 
 
-def test_store_that_is_back_was_away_until_its_first_answer() -> None:
+def test_store_counts_as_failing_until_its_first_answer() -> None:
     source = FakeStore(
         reads=[catalog.Snapshot(1, [REPLICA])],
         watches=[
@@ -335,7 +335,7 @@
         ],
     )
     known, _ = run_until(source, lambda c: c.revision == 2)
-    # Its entry may yet come back, however long the last failure is ago.
+    # The replica's record may return, however long ago the last call failed.
     time = clock.SystemClock()
     returned_ms = time.now_ms()
     almost_ms = returned_ms + catalog.REPLICA_RETURN_MS - 100.0
@@ -343,7 +343,7 @@
 
 
 class SilencedStore:
-    """Falls silent on its first connection and answers on others."""
+    """Stops responding on its first connection, and responds on others."""
 
     def __init__(self) -> None:
         self._connections = 0
@@ -361,7 +361,7 @@
                 await peer.answer_json(request, {"events": [], "at": 1})
 
 
-def test_connection_that_went_silent_is_no_sign_of_an_outage() -> None:
+def test_stalled_connection_is_no_sign_of_an_outage() -> None:
     signs: list[float | None] = []
 
     async def main() -> None:
@@ -392,8 +392,8 @@
     assert set(signs) == {None}
 
 
-class OvertakenStore(ScriptedStore):
-    """Answers a watch after the other reader has told a part of it."""
+class ConcurrentStore(ScriptedStore):
+    """Answers a watch after another reader has sent a part of the answer."""
 
     def __init__(self, known: catalog.Catalog) -> None:
         super().__init__()
@@ -409,14 +409,15 @@
         return catalog.Snapshot(3, [change, replica])
 
 
-def test_changes_are_told_from_what_was_known_when_they_were_read() -> None:
-    # Told as complete since the question, they lacked what came meanwhile.
+def test_changes_are_published_after_the_revision_known_when_read() -> None:
+    # Published as complete since the watch was sent, the changes lacked those
+    # that arrived in the meantime.
     known = catalog.Catalog()
     published: list[tuple[int, list[int]]] = []
 
     async def main() -> None:
         reader = store_reader.StoreReader(
-            OvertakenStore(known),
+            ConcurrentStore(known),
             known,
             lambda: True,
             lambda after, changes: published.append(
@@ -435,12 +436,12 @@
     assert published == [(2, [3])]
 
 
-class NarrowStore:
-    """Sends a configuration's worth of bytes, as a narrow link lets them by.
+class SlowLinkStore:
+    """Sends an answer of a configuration's size at the speed of a slow link.
 
     Attributes:
-      watched: revisions that were watched from.
-      read: how often all was read.
+      watched: revisions after which changes were watched.
+      read: number of complete reads.
     """
 
     PART_BYTES = 16_384
@@ -483,11 +484,10 @@
             await asyncio.sleep(self.PART_S)
 
 
-def test_reader_behind_a_narrow_link_hears_what_takes_seconds_to_arrive() -> (
-    None
-):
-    # It read everything again each second, and heard of nothing for 19.9 s.
-    source = NarrowStore()
+def test_reader_on_a_slow_link_gets_an_answer_that_takes_seconds() -> None:
+    # The reader read everything again each second, and learned of no change for
+    # 19.9 s.
+    source = SlowLinkStore()
     known = catalog.Catalog()
     kept_up: list[bool] = []
     ages_ms: list[float] = []
@@ -521,14 +521,14 @@
     assert known.revision == 2
     assert "m" in known.targets
     assert source.read == 1
-    # To the others it is a sign that the store serves.
+    # An answer that is arriving shows the other entries that the store works.
     assert max(ages_ms) < reader_election.READER_STORE_AGE_MS
-    # What the others read comes from them meanwhile.
+    # In the meantime, the reader requests changes from the other entries.
     assert kept_up[0]
     assert not kept_up[-1]
 
 
-def test_call_after_one_that_failed_asks_for_what_is_missing() -> None:
+def test_call_after_a_failed_one_requests_missing_changes_only() -> None:
     source = FakeStore(
         [catalog.Snapshot(3, [])],
         [clients.PlatformError("no answer in time"), catalog.Snapshot(9, [])],
@@ -537,7 +537,7 @@
     assert source.watched[:2] == [3, 3]
 
 
-def test_answer_of_no_use_to_a_watch_is_followed_by_reading_all() -> None:
+def test_unusable_answer_to_a_watch_leads_to_a_complete_read() -> None:
     source = FakeStore(
         [catalog.Snapshot(3, []), catalog.Snapshot(9, [])],
         [clients.UselessAnswerError("malformed answer", answering=True)],
--- a/tests/direct/fleet/test_version_ages.py
+++ b/tests/direct/fleet/test_version_ages.py
@@ -1,4 +1,4 @@
-"""How old processes believe a named version to be, over slow ways."""
+"""The bounds on a version's age that processes learn over slow paths."""
 
 from __future__ import annotations
 
@@ -33,13 +33,13 @@
     customers=None,
     limits=fleet.CallerLimits(),
 )
-WAY_MS = 400.0
+PATH_LATENCY_MS = 400.0
 BOUND_MS = 8_000.0
 NOW = event_time.Ages(0.0, 0.0)
 
 
 class SlowStore:
-    """Names a version while its answer about a configuration is on its way."""
+    """Announces a version while an earlier answer is still in transit."""
 
     def __init__(self, time: clock.Clock) -> None:
         self._clock = time
@@ -62,7 +62,7 @@
         return catalog.Snapshot(after, [])
 
 
-def test_version_named_while_an_answer_is_on_its_way_counts_from_then() -> None:
+def test_version_announced_during_an_answer_counts_from_then() -> None:
     time = clock.SystemClock()
     source = SlowStore(time)
     known = catalog.Catalog()
@@ -90,7 +90,7 @@
 
 
 class Member(member_sync.MemberSync):
-    """A member that keeps what it sends."""
+    """A member that records the messages it sends."""
 
     def __init__(
         self, name: str, data_centre: str, time: clock.Clock, *others: str
@@ -106,10 +106,10 @@
         )
         self.sent: list[tuple[str, msgspec.Struct]] = []
         for other in others:
-            news = members.MemberUpdate(
+            update = members.MemberUpdate(
                 member(other, data_centre), 1, members.MemberState.READY
             )
-            self.roster.apply_direct(news, time.now_ms())
+            self.roster.apply_direct(update, time.now_ms())
 
     def send(self, vm_id: str, message: msgspec.Struct) -> bool:
         self.sent.append((vm_id, message))
@@ -119,15 +119,15 @@
         assert isinstance(vm_ids, list)
         self.sent.extend((vm_id, message) for vm_id in vm_ids)
 
-    def take_news(self) -> fleet_messages.CatalogNews:
-        """Returns the last news sent, and forgets all."""
-        news = [
+    def take_update(self) -> fleet_messages.CatalogNews:
+        """Returns the last catalog update sent, and clears the record."""
+        updates = [
             message
             for _, message in self.sent
             if isinstance(message, fleet_messages.CatalogNews)
         ]
         self.sent.clear()
-        return news[-1]
+        return updates[-1]
 
 
 def member(name: str, data_centre: str = "dc-1") -> members.Member:
@@ -137,7 +137,7 @@
 
 
 class Entry:
-    """An entry's catalog and how it tells others of it."""
+    """An entry's catalog and its synchronisation with other entries."""
 
     def __init__(
         self, name: str, time: clock.ManualClock, *others: str
@@ -159,12 +159,12 @@
 
 @pytest.fixture
 def make_entry(time: clock.ManualClock) -> MakeEntry:
-    """Makes entries that know some others."""
+    """Returns a function that makes an entry, given the others it knows."""
     return lambda name, *others: Entry(name, time, *others)
 
 
 def read_version(entry: Entry, time: clock.ManualClock) -> float:
-    """Has an entry read a version as it is named; returns when that was."""
+    """Lets an entry read a version at its announcement; returns the time."""
     change = catalog.TargetChange(3, TARGET, NOW)
     entry.known.apply([change], time.now_ms())
     entry.known.advance(3)
@@ -172,82 +172,83 @@
     return time.now_ms()
 
 
-def test_news_of_a_version_get_older_on_their_way(
+def test_age_of_a_version_includes_the_path_latency(
     make_entry: MakeEntry, time: clock.ManualClock
 ) -> None:
     reader = make_entry("entry-1", "entry-2")
     other = make_entry("entry-2")
     acknowledged_ms = read_version(reader, time)
-    news = reader.member.take_news()
-    time.advance(WAY_MS)
-    other.sync.on_news("entry-1", news)
+    update = reader.member.take_update()
+    time.advance(PATH_LATENCY_MS)
+    other.sync.on_news("entry-1", update)
     assert other.named_ms() <= acknowledged_ms
 
 
-def test_news_of_a_version_get_older_on_each_of_two_ways(
+def test_age_of_a_version_includes_the_latency_of_two_paths(
     make_entry: MakeEntry, time: clock.ManualClock
 ) -> None:
     reader = make_entry("entry-1", "entry-2")
     relay = make_entry("entry-2", "entry-3")
     other = make_entry("entry-3")
     acknowledged_ms = read_version(reader, time)
-    news = msgspec.structs.replace(reader.member.take_news(), pass_on=True)
-    time.advance(WAY_MS)
-    relay.sync.on_news("entry-1", news)
-    news = relay.member.take_news()
-    time.advance(WAY_MS)
-    other.sync.on_news("entry-2", news)
+    update = msgspec.structs.replace(reader.member.take_update(), pass_on=True)
+    time.advance(PATH_LATENCY_MS)
+    relay.sync.on_news("entry-1", update)
+    update = relay.member.take_update()
+    time.advance(PATH_LATENCY_MS)
+    other.sync.on_news("entry-2", update)
     assert other.named_ms() <= acknowledged_ms
 
 
-def told_by(entry: Entry) -> list[str]:
-    """Returns whom an entry told news, and forgets all that it sent."""
-    told = [
+def take_recipients(entry: Entry) -> list[str]:
+    """Returns the entries that were sent an update, and clears the record."""
+    recipients = [
         name
         for name, message in entry.member.sent
         if isinstance(message, fleet_messages.CatalogNews)
     ]
     entry.member.sent.clear()
-    return told
+    return recipients
 
 
-def test_relay_that_heard_of_a_change_elsewhere_passes_it_on(
+def test_relay_forwards_a_change_that_it_already_knew(
     make_entry: MakeEntry, time: clock.ManualClock
 ) -> None:
-    # Entries near it heard by comparing revisions, some hundred ms later.
+    # Without forwarding, the entries of the relay's region received the change
+    # only after comparing revisions, some hundred ms later.
     reader = make_entry("entry-1", "entry-2")
     relay = make_entry("entry-2", "entry-3")
     read_version(reader, time)
-    news = msgspec.structs.replace(
-        reader.member.take_news(), pass_on=True, told_near=False
+    update = msgspec.structs.replace(
+        reader.member.take_update(), pass_on=True, told_near=False
     )
     reader.sync.tell("entry-2", 0)
-    relay.sync.on_news("entry-1", reader.member.take_news())
-    assert told_by(relay) == []
-    relay.sync.on_news("entry-1", news)
-    assert told_by(relay) == ["entry-3"]
-    # Once: the other reader has a relay of its own.
-    relay.sync.on_news("entry-4", news)
-    assert told_by(relay) == []
+    relay.sync.on_news("entry-1", reader.member.take_update())
+    assert take_recipients(relay) == []
+    relay.sync.on_news("entry-1", update)
+    assert take_recipients(relay) == ["entry-3"]
+    # A change is forwarded once; the other reader has a relay of its own.
+    relay.sync.on_news("entry-4", update)
+    assert take_recipients(relay) == []
 
 
-def test_relay_passes_on_nothing_that_another_told_all_near(
+def test_relay_does_not_forward_what_its_region_was_sent(
     make_entry: MakeEntry, time: clock.ManualClock
 ) -> None:
     reader = make_entry("entry-1", "entry-2")
     first = make_entry("entry-2", "entry-3")
     second = make_entry("entry-3", "entry-2")
     read_version(reader, time)
-    news = msgspec.structs.replace(
-        reader.member.take_news(), pass_on=True, told_near=False
+    update = msgspec.structs.replace(
+        reader.member.take_update(), pass_on=True, told_near=False
     )
-    first.sync.on_news("entry-1", news)
-    second.sync.on_news("entry-2", first.member.take_news())
-    second.sync.on_news("entry-1", news)
-    assert told_by(second) == []
+    first.sync.on_news("entry-1", update)
+    second.sync.on_news("entry-2", first.member.take_update())
+    second.sync.on_news("entry-1", update)
+    assert take_recipients(second) == []
 
 
-def test_version_gets_older_on_the_way_to_an_agent(
+def test_age_of_a_version_includes_the_latency_to_an_agent(
     time: clock.ManualClock,
 ) -> None:
     known = catalog.Catalog()
@@ -263,7 +264,7 @@
         for _, message in sync.sent
         if isinstance(message, fleet_messages.Guide)
     ]
-    time.advance(WAY_MS)
+    time.advance(PATH_LATENCY_MS)
     weights = named_weights.NamedWeights(lambda _: None, time)
     weights.take_guide(message)
     target = weights.target("m")
@@ -273,35 +274,35 @@
 
 
 class Process:
-    """A catalog, and its questions to another one over given ways."""
+    """A catalog, and its queries to another process at given latencies."""
 
     def __init__(self, time: clock.ManualClock) -> None:
         self.time = time
         self.known = catalog.Catalog()
-        self.asked: list[tuple[str, msgspec.Struct]] = []
+        self.queries: list[tuple[str, msgspec.Struct]] = []
         self.ages = version_ages.VersionAges(
             self.known, self._send, lambda: [], time
         )
 
     def _send(self, name: str, message: msgspec.Struct) -> bool:
-        self.asked.append((name, message))
+        self.queries.append((name, message))
         return True
 
-    def hear(self, other: catalog.Catalog, way_ms: float) -> None:
-        """Hears the news of another process, which come late."""
-        news = other.changes_after(0, self.time.now_ms())
-        self.time.advance(way_ms)
+    def receive(self, other: catalog.Catalog, latency_ms: float) -> None:
+        """Receives the changes of another process after some latency."""
+        changes = other.changes_after(0, self.time.now_ms())
+        self.time.advance(latency_ms)
         now_ms = self.time.now_ms()
-        hearing = event_time.unsolicited(version_ages.WAY_MAX_MS, now_ms)
-        self.known.apply(news, now_ms, hearing)
+        receipt = event_time.unsolicited(version_ages.WAY_MAX_MS, now_ms)
+        self.known.apply(changes, now_ms, receipt)
         self.ages.note_news("entry-1")
 
     def exchange(self, other: Process, there_ms: float, back_ms: float) -> None:
-        """Carries the questions to another process and the answers back."""
-        asked, self.asked = self.asked, []
+        """Delivers the queries to another process and the answers back."""
+        queries, self.queries = self.queries, []
         self.time.advance(there_ms)
         answers = []
-        for name, request in asked:
+        for name, request in queries:
             assert isinstance(request, fleet_messages.VersionAgesRequest)
             answers.append((name, other.ages.answer_to(request)))
         self.time.advance(back_ms)
@@ -318,8 +319,8 @@
         return found.named
 
 
-def named_at(process: Process, version: int = 2) -> float:
-    """Has a process read a version as it is named."""
+def announce(process: Process, version: int = 2) -> float:
+    """Lets a process read a version at its announcement; returns the time."""
     target = fleet.WeightsTarget(model="m", version=version)
     change = catalog.TargetChange(version, target, NOW)
     process.known.apply([change], process.time.now_ms())
@@ -329,26 +330,26 @@
 @pytest.mark.parametrize(
     ("there_ms", "back_ms"), [(1.0, 1.0), (400.0, 2.0), (2.0, 400.0)]
 )
-def test_answer_bounds_the_age_of_a_version_by_its_own_way(
+def test_answer_bounds_the_age_of_a_version_by_its_round_trip(
     time: clock.ManualClock, there_ms: float, back_ms: float
 ) -> None:
     reader, other = Process(time), Process(time)
-    acknowledged_ms = named_at(reader)
-    other.hear(reader.known, way_ms=700.0)
+    acknowledged_ms = announce(reader)
+    other.receive(reader.known, latency_ms=700.0)
     other.exchange(reader, there_ms, back_ms)
     named = other.named()
     assert named.earliest_ms <= acknowledged_ms <= named.latest_ms
     assert named.uncertainty_ms <= there_ms + back_ms
 
 
-def test_one_quick_answer_makes_up_for_slow_ones(
+def test_one_fast_answer_makes_up_for_slow_ones(
     time: clock.ManualClock,
 ) -> None:
     reader, other = Process(time), Process(time)
-    acknowledged_ms = named_at(reader)
-    other.hear(reader.known, way_ms=700.0)
-    for way_ms in (500.0, 3.0, 500.0):
-        other.exchange(reader, way_ms, way_ms)
+    acknowledged_ms = announce(reader)
+    other.receive(reader.known, latency_ms=700.0)
+    for latency_ms in (500.0, 3.0, 500.0):
+        other.exchange(reader, latency_ms, latency_ms)
         time.advance(version_ages.ASK_MS)
         other.ages.tick(BOUND_MS)
     named = other.named()
@@ -356,65 +357,66 @@
     assert named.uncertainty_ms <= 6.0
 
 
-def test_nobody_is_asked_when_it_no_longer_matters(
+def test_queries_stop_when_the_age_no_longer_matters(
     time: clock.ManualClock,
 ) -> None:
     reader, other = Process(time), Process(time)
-    named_at(reader)
-    other.hear(reader.known, way_ms=50.0)
-    asked = 0
+    announce(reader)
+    other.receive(reader.known, latency_ms=50.0)
+    queries = 0
     for _ in range(3 * version_ages.ANSWERS_MAX):
-        asked += len(other.asked)
+        queries += len(other.queries)
         other.exchange(reader, 200.0, 200.0)
         other.ages.tick(BOUND_MS)
-    assert asked <= version_ages.ANSWERS_MAX
-    other.asked.clear()
+    assert queries <= version_ages.ANSWERS_MAX
+    other.queries.clear()
     time.advance(2 * BOUND_MS)
     other.ages.tick(BOUND_MS)
-    assert other.asked == []
+    assert other.queries == []
 
 
-def test_process_that_missed_a_version_learns_when_it_was_named(
+def test_process_that_missed_a_version_learns_its_age(
     time: clock.ManualClock,
 ) -> None:
     reader, late = Process(time), Process(time)
-    first_ms = named_at(reader, 2)
+    first_ms = announce(reader, 2)
     time.advance(2_000.0)
-    named_at(reader, 3)
-    late.hear(reader.known, way_ms=20.0)
+    announce(reader, 3)
+    late.receive(reader.known, latency_ms=20.0)
     late.exchange(reader, 5.0, 5.0)
     named = late.named(2)
     assert named.earliest_ms <= first_ms <= named.latest_ms
 
 
-def test_news_that_come_after_those_of_the_next_version_count(
+def test_late_update_on_an_earlier_version_is_applied(
     time: clock.ManualClock,
 ) -> None:
     reader, restarted, other = Process(time), Process(time), Process(time)
-    first_ms = named_at(reader, 2)
+    first_ms = announce(reader, 2)
     late = reader.known.changes_after(0, time.now_ms())
     time.advance(400.0)
-    # It read all that the store holds, which tells of the newest version alone.
-    named_at(restarted, 3)
-    other.hear(restarted.known, way_ms=1.0)
+    # The process read the complete store, which holds only the newest version.
+    announce(restarted, 3)
+    other.receive(restarted.known, latency_ms=1.0)
     other.exchange(restarted, 1.0, 1.0)
     now_ms = time.now_ms()
-    hearing = event_time.unsolicited(version_ages.WAY_MAX_MS, now_ms)
-    assert other.known.apply(late, now_ms, hearing) == []
+    receipt = event_time.unsolicited(version_ages.WAY_MAX_MS, now_ms)
+    assert other.known.apply(late, now_ms, receipt) == []
     named = other.named(2)
     assert named.earliest_ms <= first_ms <= named.latest_ms
     assert other.known.targets["m"].next_counts_from_ms(1) == named.earliest_ms
 
 
-def test_version_between_two_others_binds_where_only_the_newest_was_news(
+def test_update_on_the_newest_version_dates_a_skipped_version(
     time: clock.ManualClock,
 ) -> None:
-    # It was unknown until the first answer, some seconds behind a full link.
+    # The version was unknown until the first answer, which took seconds on a
+    # saturated link.
     reader, late = Process(time), Process(time)
-    first_ms = named_at(reader, 2)
+    first_ms = announce(reader, 2)
     time.advance(version_ages.WAY_MAX_MS + 1_000.0)
-    named_at(reader, 3)
-    late.hear(reader.known, way_ms=20.0)
+    announce(reader, 3)
+    late.receive(reader.known, latency_ms=20.0)
     bound_ms = late.known.targets["m"].next_counts_from_ms(1)
     assert bound_ms is not None
     assert bound_ms <= first_ms
@@ -422,10 +424,11 @@
     assert named.earliest_ms <= first_ms <= named.latest_ms
 
 
-def test_version_between_two_others_is_told_over_two_ways(
+def test_skipped_version_is_sent_over_two_hops(
     make_entry: MakeEntry, time: clock.ManualClock
 ) -> None:
-    # An entry that read only the newest, and one that it tells.
+    # The relay receives only the update on the newest version, and the last
+    # entry only what the relay forwards.
     reader = make_entry("entry-1", "entry-2")
     relay = make_entry("entry-2", "entry-3")
     other = make_entry("entry-3")
@@ -436,12 +439,12 @@
     reader.known.apply([change], time.now_ms())
     reader.known.advance(4)
     reader.sync.publish(3, [change])
-    news = msgspec.structs.replace(reader.member.take_news(), pass_on=True)
-    time.advance(WAY_MS)
-    relay.sync.on_news("entry-1", news)
-    news = relay.member.take_news()
-    time.advance(WAY_MS)
-    other.sync.on_news("entry-2", news)
+    update = msgspec.structs.replace(reader.member.take_update(), pass_on=True)
+    time.advance(PATH_LATENCY_MS)
+    relay.sync.on_news("entry-1", update)
+    update = relay.member.take_update()
+    time.advance(PATH_LATENCY_MS)
+    other.sync.on_news("entry-2", update)
     named = other.known.targets["m"].named
     assert [each.version for each in named] == [2, 3]
     bound_ms = other.known.targets["m"].next_counts_from_ms(1)
@@ -449,72 +452,73 @@
     assert bound_ms <= first_ms
 
 
-def test_answer_to_no_question_tells_nothing(time: clock.ManualClock) -> None:
+def test_answer_without_a_query_is_ignored(time: clock.ManualClock) -> None:
     reader, other = Process(time), Process(time)
-    named_at(reader)
-    other.hear(reader.known, way_ms=700.0)
+    announce(reader)
+    other.receive(reader.known, latency_ms=700.0)
     before = other.named()
     request = fleet_messages.VersionAgesRequest(number=99)
     assert other.ages.on_answer("x", reader.ages.answer_to(request)) is None
     assert other.named() == before
 
 
-def test_answer_counts_over_whichever_link_it_comes(
+def test_answer_over_another_link_is_applied(
     time: clock.ManualClock,
 ) -> None:
     reader, other = Process(time), Process(time)
-    named_at(reader)
-    other.hear(reader.known, way_ms=700.0)
-    ((_, request),) = other.asked
+    announce(reader)
+    other.receive(reader.known, latency_ms=700.0)
+    ((_, request),) = other.queries
     assert isinstance(request, fleet_messages.VersionAgesRequest)
     other.ages.on_answer("seed:10.0.0.1:8000", reader.ages.answer_to(request))
     assert other.named().uncertainty_ms == 0.0
 
 
-def test_version_that_binds_is_not_freed_by_a_call_sent_before(
+def test_mandatory_version_is_not_restarted_by_an_earlier_call(
     make_entry: MakeEntry, time: clock.ManualClock
 ) -> None:
     entry = make_entry("entry-1", "entry-2")
     acknowledged_ms = read_version(entry, time)
-    # The store held a watch, and fell silent after the version was in force.
+    # The store held a watch, and stopped responding after the version had
+    # become mandatory.
     time.advance(BOUND_MS - 500.0)
-    asked_ms = time.now_ms()
+    requested_ms = time.now_ms()
     time.advance(1_600.0)
-    entry.sync.note_store(BOUND_MS, asked_ms)
+    entry.sync.note_store(BOUND_MS, requested_ms)
     assert entry.named_ms() == acknowledged_ms
 
 
-def test_answer_corrects_news_that_were_on_their_way_for_too_long(
+def test_answer_corrects_an_update_slower_than_assumed(
     time: clock.ManualClock,
 ) -> None:
     reader, other = Process(time), Process(time)
-    acknowledged_ms = named_at(reader)
-    other.hear(reader.known, way_ms=version_ages.WAY_MAX_MS + 1_000.0)
+    acknowledged_ms = announce(reader)
+    other.receive(reader.known, latency_ms=version_ages.WAY_MAX_MS + 1_000.0)
     other.exchange(reader, there_ms=500.0, back_ms=1_500.0)
     assert other.named().earliest_ms <= acknowledged_ms
 
 
-def test_answer_to_a_question_before_a_restart_tells_nothing(
+def test_answer_to_a_query_before_a_restart_is_ignored(
     time: clock.ManualClock,
 ) -> None:
     reader, before = Process(time), Process(time)
-    # It was read up to two seconds after it was named.
+    # The version was read up to two seconds after its announcement.
     acknowledged_ms = time.now_ms() - 1_500.0
     change = catalog.TargetChange(2, TARGET, event_time.Ages(0.0, 2_000.0))
     reader.known.apply([change], time.now_ms())
-    before.hear(reader.known, way_ms=5.0)
-    ((_, request),) = before.asked
+    before.receive(reader.known, latency_ms=5.0)
+    ((_, request),) = before.queries
     assert isinstance(request, fleet_messages.VersionAgesRequest)
     answer = reader.ages.answer_to(request)
-    # The answer waits for a link, which the restarted process opens.
+    # The answer is delayed until the restarted process opens a link.
     time.advance(1_200.0)
     restarted = Process(time)
-    restarted.hear(reader.known, way_ms=5.0)
+    restarted.receive(reader.known, latency_ms=5.0)
     restarted.ages.on_answer("entry-1", answer)
     assert restarted.named().earliest_ms <= acknowledged_ms
 
 
-def test_questions_that_nobody_was_there_to_get_are_not_counted(
+def test_queries_without_a_recipient_are_not_counted(
     time: clock.ManualClock,
 ) -> None:
     started = Process(time)
@@ -527,27 +531,27 @@
     started.ages._peers = lambda: peers
     time.advance(version_ages.ASK_MS)
     started.ages.tick(BOUND_MS)
-    assert started.asked != []
+    assert started.queries != []
 
 
-def test_version_in_doubt_is_asked_for_as_long_as_its_bound_is_ahead(
+def test_uncertain_version_is_queried_while_its_bound_is_ahead(
     time: clock.ManualClock,
 ) -> None:
     reader, other = Process(time), Process(time)
-    named_at(reader)
-    other.hear(reader.known, way_ms=100.0)
-    # A link is full for three seconds, so that no answer comes.
+    announce(reader)
+    other.receive(reader.known, latency_ms=100.0)
+    # A link is saturated for three seconds, so that no answer arrives.
     for _ in range(8):
         time.advance(version_ages.ASK_MS)
         other.ages.tick(BOUND_MS)
-    other.asked.clear()
+    other.queries.clear()
     for _ in range(5):
         time.advance(version_ages.ASK_MS)
         other.ages.tick(BOUND_MS)
-    assert other.asked != []
+    assert other.queries != []
 
 
-def test_entry_that_does_not_keep_up_with_the_store_asks_the_others(
+def test_entry_that_does_not_keep_up_requests_changes(
     make_entry: MakeEntry,
 ) -> None:
     entry = make_entry("entry-1", "entry-2")
@@ -558,7 +562,7 @@
     assert isinstance(request, fleet_messages.CatalogRequest)
 
 
-def test_process_that_saw_no_outage_counts_from_it_as_the_others_do(
+def test_process_that_saw_no_outage_counts_from_it_too(
     time: clock.ManualClock,
 ) -> None:
     entry, agent = Process(time), Process(time)
@@ -571,27 +575,27 @@
     ages = event_time.Ages(0.0, outage_ms - read_ms)
     change = catalog.TargetChange(2, TARGET, ages)
     entry.known.apply([change], time.now_ms())
-    agent.hear(entry.known, way_ms=50.0)
+    agent.receive(entry.known, latency_ms=50.0)
     agent.exchange(entry, there_ms=5.0, back_ms=5.0)
     counts_from_ms = agent.known.targets["m"].named_ms
     assert counts_from_ms is not None
     assert outage_ms - 10.0 <= counts_from_ms <= outage_ms
 
 
-def test_answers_that_rest_on_an_assumption_end_no_questions(
+def test_answers_that_rest_on_an_assumption_do_not_end_queries(
     time: clock.ManualClock,
 ) -> None:
     reader, relay, other = Process(time), Process(time), Process(time)
-    acknowledged_ms = named_at(reader)
-    # The news waited for longer than assumed, and only then went on.
-    relay.hear(reader.known, way_ms=version_ages.WAY_MAX_MS + 1_000.0)
-    other.hear(relay.known, way_ms=5.0)
+    acknowledged_ms = announce(reader)
+    # The update took longer than assumed, and was then forwarded.
+    relay.receive(reader.known, latency_ms=version_ages.WAY_MAX_MS + 1_000.0)
+    other.receive(relay.known, latency_ms=5.0)
     for _ in range(version_ages.ANSWERS_MAX):
         other.exchange(relay, there_ms=5.0, back_ms=5.0)
         time.advance(version_ages.ASK_MS)
         other.ages.tick(BOUND_MS)
     relay.exchange(reader, there_ms=5.0, back_ms=5.0)
-    other.asked.clear()
+    other.queries.clear()
     time.advance(version_ages.ASK_MS)
     other.ages.tick(BOUND_MS)
     other.exchange(relay, there_ms=5.0, back_ms=5.0)
@@ -600,26 +604,26 @@
     assert named.earliest_ms <= acknowledged_ms
 
 
-def test_answer_corrects_an_outage_that_was_told_too_late(
+def test_answer_corrects_an_outage_that_was_reported_late(
     time: clock.ManualClock,
 ) -> None:
     reader, other = Process(time), Process(time)
-    named_at(reader)
+    announce(reader)
     for _ in range(4):
         time.advance(500.0)
         reader.known.record_outage_sign(BOUND_MS, time.now_ms())
     outage_ms = time.now_ms()
-    other.hear(reader.known, way_ms=version_ages.WAY_MAX_MS + 1_000.0)
+    other.receive(reader.known, latency_ms=version_ages.WAY_MAX_MS + 1_000.0)
     other.exchange(reader, there_ms=5.0, back_ms=5.0)
     counts_from_ms = other.known.targets["m"].named_ms
     assert counts_from_ms is not None
     assert counts_from_ms <= outage_ms
 
 
-def test_news_of_a_reader_lack_nothing_that_it_heard_meanwhile(
+def test_update_of_a_reader_includes_changes_received_meanwhile(
     make_entry: MakeEntry, time: clock.ManualClock
 ) -> None:
-    # The other reader's news of the version never reach the third entry.
+    # The other reader's update on the version never reaches the third entry.
     reader = make_entry("entry-1", "entry-3")
     other = make_entry("entry-3")
     for entry in (reader, other):
@@ -630,22 +634,23 @@
     reader.known.apply([config], time.now_ms())
     reader.known.advance(4)
     reader.sync.publish(2, [config])
-    other.sync.on_news("entry-1", reader.member.take_news())
+    other.sync.on_news("entry-1", reader.member.take_update())
     assert "m" in other.known.targets or other.known.revision < 3
 
 
-def test_news_that_are_complete_after_a_gap_hold_what_was_heard_beyond_it(
+def test_complete_update_includes_changes_from_beyond_a_gap(
     make_entry: MakeEntry, time: clock.ManualClock
 ) -> None:
     reader = make_entry("entry-1", "entry-3")
     other = make_entry("entry-3")
     for entry in (reader, other):
         entry.known.advance(2)
-    # Heard of beyond a gap, so that what is known does not reach that far.
+    # The version arrived from beyond a gap, so that the catalog is not
+    # complete up to it.
     reader.known.apply([catalog.TargetChange(4, TARGET, NOW)], time.now_ms())
     config = catalog.ConfigChange(3, CONFIG)
     reader.known.apply([config], time.now_ms())
     reader.known.advance(4)
     reader.sync.publish(2, [config])
-    other.sync.on_news("entry-1", reader.member.take_news())
+    other.sync.on_news("entry-1", reader.member.take_update())
     assert "m" in other.known.targets or other.known.revision < 4
