--- a/src/marlramp/direct/fleet/catalog_sync.py
+++ b/src/marlramp/direct/fleet/catalog_sync.py
@@ -22,15 +22,15 @@
 from marlramp.direct.fleet import version_ages
 from marlramp.protocol import fleet_messages
 
-REQUEST_NEWS_MS = 500.0
+REQUEST_MS = 500.0
 """Minimum interval between two requests for missed changes."""
 
-FIRST_REQUEST_NEWS_MS = 150.0
+FIRST_REQUEST_MS = 150.0
 """Minimum interval between two requests while the catalog is empty. Without a
 limit, each starting entry would be sent the complete catalog by every entry
 that it meets."""
 
-RELAYS = 1
+RELAYS_PER_DATA_CENTRE = 1
 """Number of entries in each data centre of another region that a reader sends a
 change to, and that forward it to the other entries there. The two readers
 choose different ones."""
@@ -45,7 +45,7 @@
         sync: member_sync.MemberSync,
         on_changed: Callable[[list[catalog.Change]], None],
         time: clock.Clock,
-        on_named: Callable[[str], None] = lambda _: None,
+        on_version_announced: Callable[[str], None] = lambda _: None,
     ) -> None:
         """Creates a synchroniser that applies received changes to `known`.
 
@@ -54,13 +54,13 @@
           sync: the other members.
           on_changed: called with the changes that were new to the catalog.
           time: the clock.
-          on_named: called with the name of an entry that sent a change of
-            target weights.
+          on_version_announced: called with the name of an entry that sent a
+            change of target weights.
         """
         self._catalog = known
         self._sync = sync
         self._on_changed = on_changed
-        self._on_named = on_named
+        self._on_named = on_version_announced
         self._clock = time
         self._requested_ms = float("-inf")
         self._store_down = False
@@ -180,7 +180,7 @@
         return [
             relay
             for vm_ids in by_data_centre.values()
-            for relay in rendezvous.subset(key, vm_ids, RELAYS)
+            for relay in rendezvous.subset(key, vm_ids, RELAYS_PER_DATA_CENTRE)
         ]
 
     def _handle_changes(
@@ -219,7 +219,7 @@
     def _request_changes(self, name: str) -> None:
         now_ms = self._clock.now_ms()
         first = self._catalog.revision == 0
-        pause_ms = FIRST_REQUEST_NEWS_MS if first else REQUEST_NEWS_MS
+        pause_ms = FIRST_REQUEST_MS if first else REQUEST_MS
         if now_ms - self._requested_ms < pause_ms:
             return
         self._requested_ms = now_ms
--- a/src/marlramp/direct/fleet/entry_contacts.py
+++ b/src/marlramp/direct/fleet/entry_contacts.py
@@ -19,7 +19,7 @@
 from marlramp.protocol import fleet_messages
 from marlramp.settings import node
 
-GREET_MS = 1_000.0
+SEED_RETRY_MS = 1_000.0
 """Interval between introductions while the agent has no coordinator."""
 
 PLACE_MS = 500.0
@@ -147,7 +147,7 @@
             if view.heard_ms < horizon_ms:
                 del self._views[vm_id]
                 self._changed = bool(self._views)
-        if not self._views and now_ms - self._contacted_ms >= GREET_MS:
+        if not self._views and now_ms - self._contacted_ms >= SEED_RETRY_MS:
             self._contacted_ms = now_ms
             self._contact_seeds()
             for entry in self._entries.values():
--- a/src/marlramp/direct/fleet/member_sync.py
+++ b/src/marlramp/direct/fleet/member_sync.py
@@ -47,10 +47,10 @@
 request. Rosters of the own region show the same differences, and requests for
 them cause no traffic between regions."""
 
-SAMPLE = 6
+SAMPLE_MAX = 6
 """Number of members listed in the answer to an introduction."""
 
-CONTRADICTION_MS = 400.0
+RECORD_REPORT_MS = 400.0
 """Minimum interval between two reports to a process that it is considered
 suspect, down or of a newer incarnation."""
 
@@ -253,14 +253,14 @@
         for vm_id in self.roster.tick(now_ms):
             self._reported_ms.pop(vm_id, None)
         self._update_lost()
-        self._send_gossip(now_ms)
+        self._send_updates(now_ms)
 
     def _queue_update(
         self, update: members.MemberUpdate, now_ms: clock.Millis
     ) -> None:
         self._gossip_queue.add(update.vm_id, update, now_ms)
 
-    def _send_gossip(self, now_ms: clock.Millis) -> None:
+    def _send_updates(self, now_ms: clock.Millis) -> None:
         updates = self._gossip_queue.next_batch(now_ms)
         if updates:
             self.send_some(fleet_messages.MembersNews(news=updates))
@@ -453,7 +453,7 @@
         """Sends a process the record of it, so that it refutes the record."""
         vm_id = record.update.vm_id
         last_ms = self._reported_ms.get(vm_id, float("-inf"))
-        if now_ms - last_ms >= CONTRADICTION_MS:
+        if now_ms - last_ms >= RECORD_REPORT_MS:
             self._reported_ms[vm_id] = now_ms
             message = fleet_messages.MembersNews(news=[record.update])
             self.send(vm_id, message)
@@ -506,7 +506,7 @@
                 if record.update.state is members.MemberState.READY
                 and record.update.member.kind is members.MemberKind.ENTRY
             ]
-            sample = self._rng.sample(known, min(SAMPLE, len(known)))
+            sample = self._rng.sample(known, min(SAMPLE_MAX, len(known)))
         return fleet_messages.Hello(
             news=self.roster.own, sample=sample, reply=reply
         )
--- a/src/marlramp/direct/fleet/store_reader.py
+++ b/src/marlramp/direct/fleet/store_reader.py
@@ -46,11 +46,11 @@
 RETRY_MAX_MS = 600.0
 """Range of the random pause after a failed call."""
 
-BEHIND_MS = WATCH_WAIT_MS + store.WATCH_MARGIN_MS
+ARRIVING_AFTER_MS = WATCH_WAIT_MS + store.WATCH_MARGIN_MS
 """A call that takes longer than this is still receiving a large answer. In the
 meantime the reader requests changes from other entries."""
 
-IDLE_MS = 100.0
+ELECTION_CHECK_MS = 100.0
 """Interval between two checks whether this process is elected to read."""
 
 
@@ -159,7 +159,7 @@
         """
         if self._requested_ms is None:
             return False
-        return self._clock.now_ms() - self._requested_ms > BEHIND_MS
+        return self._clock.now_ms() - self._requested_ms > ARRIVING_AFTER_MS
 
     async def run(self) -> None:
         """Reads the store while this process is elected to; never returns."""
@@ -167,7 +167,7 @@
             self.reading = self._is_reader()
             if not self.reading:
                 self._silent_call = None
-                await asyncio.sleep(IDLE_MS / clock.MILLIS_PER_SECOND)
+                await asyncio.sleep(ELECTION_CHECK_MS / clock.MILLIS_PER_SECOND)
                 continue
             try:
                 await self._step()
--- a/src/marlramp/direct/fleet/version_ages.py
+++ b/src/marlramp/direct/fleet/version_ages.py
@@ -33,13 +33,13 @@
 """Number of answers after which a version is no longer queried. Answers that
 rest on an assumed path latency do not count, as they cannot correct another."""
 
-DOUBT_MS = 30.0
+UNCERTAINTY_MIN_MS = 30.0
 """Uncertainty of the time of an announcement that needs no further query."""
 
 NUMBER_BITS = 48
 """Size in bits of the random number of a process's first query."""
 
-OPEN_MAX = 64
+PENDING_MAX = 64
 """Maximum number of unanswered queries kept, the newest ones."""
 
 Send: TypeAlias = Callable[[str, msgspec.Struct], bool]
@@ -106,7 +106,7 @@
         """Sends a query to one process."""
         self._number += 1
         self._pending[self._number] = self._clock.now_ms()
-        while len(self._pending) > OPEN_MAX:
+        while len(self._pending) > PENDING_MAX:
             del self._pending[next(iter(self._pending))]
         request = fleet_messages.VersionAgesRequest(number=self._number)
         self._send(name, request)
@@ -161,7 +161,7 @@
             (model, named.version)
             for model, known in self._catalog.targets.items()
             for named in known.named
-            if named.needs_refinement(bound_ms, DOUBT_MS, now_ms)
+            if named.needs_refinement(bound_ms, UNCERTAINTY_MIN_MS, now_ms)
         ]
         return [
             each for each in found if self._answers.get(each, 0) < ANSWERS_MAX
