--- a/src/marlramp/direct/fleet/catalog_sync.py
+++ b/src/marlramp/direct/fleet/catalog_sync.py
@@ -98,7 +98,9 @@
         now_ms = self._clock.now_ms()
         before = self._catalog.revision
         changes = catalog_news.unpack(update.changes)
-        receipt = event_time.unsolicited(version_ages.WAY_MAX_MS, now_ms)
+        receipt = event_time.unsolicited(
+            version_ages.PATH_LATENCY_MAX_MS, now_ms
+        )
         new = self._catalog.apply(changes, now_ms, receipt)
         if update.after <= before:
             self._catalog.advance(update.revision)
--- a/src/marlramp/direct/fleet/named_weights.py
+++ b/src/marlramp/direct/fleet/named_weights.py
@@ -82,7 +82,7 @@
     def take_guide(self, guide: fleet_messages.Guide) -> bool:
         """Takes what an entry tells; returns whether a version is new."""
         hearing = event_time.unsolicited(
-            version_ages.WAY_MAX_MS, self._clock.now_ms()
+            version_ages.PATH_LATENCY_MAX_MS, self._clock.now_ms()
         )
         is_new = self._apply(list(guide.targets), "guide", hearing)
         self._take_origin(guide.origin)
--- a/src/marlramp/direct/fleet/version_ages.py
+++ b/src/marlramp/direct/fleet/version_ages.py
@@ -21,7 +21,7 @@
 from marlramp.direct.fleet import catalog_log
 from marlramp.protocol import fleet_messages
 
-WAY_MAX_MS = 4_000.0
+PATH_LATENCY_MAX_MS = 4_000.0
 """Assumed maximum path latency of an update until an answer bounds it. A link
 on which nothing is acknowledged for 2.5 s is closed, and a message waits up to
 1.5 s for a link to open."""
--- a/tests/direct/fleet/test_version_ages.py
+++ b/tests/direct/fleet/test_version_ages.py
@@ -293,7 +293,9 @@
         changes = other.changes_after(0, self.time.now_ms())
         self.time.advance(latency_ms)
         now_ms = self.time.now_ms()
-        receipt = event_time.unsolicited(version_ages.WAY_MAX_MS, now_ms)
+        receipt = event_time.unsolicited(
+            version_ages.PATH_LATENCY_MAX_MS, now_ms
+        )
         self.known.apply(changes, now_ms, receipt)
         self.ages.note_news("entry-1")
 
@@ -400,7 +402,7 @@
     other.receive(restarted.known, latency_ms=1.0)
     other.exchange(restarted, 1.0, 1.0)
     now_ms = time.now_ms()
-    receipt = event_time.unsolicited(version_ages.WAY_MAX_MS, now_ms)
+    receipt = event_time.unsolicited(version_ages.PATH_LATENCY_MAX_MS, now_ms)
     assert other.known.apply(late, now_ms, receipt) == []
     named = other.named(2)
     assert named.earliest_ms <= first_ms <= named.latest_ms
@@ -414,7 +416,7 @@
     # saturated link.
     reader, late = Process(time), Process(time)
     first_ms = announce(reader, 2)
-    time.advance(version_ages.WAY_MAX_MS + 1_000.0)
+    time.advance(version_ages.PATH_LATENCY_MAX_MS + 1_000.0)
     announce(reader, 3)
     late.receive(reader.known, latency_ms=20.0)
     bound_ms = late.known.targets["m"].next_counts_from_ms(1)
@@ -433,7 +435,7 @@
     relay = make_entry("entry-2", "entry-3")
     other = make_entry("entry-3")
     first_ms = read_version(reader, time)
-    time.advance(version_ages.WAY_MAX_MS + 1_000.0)
+    time.advance(version_ages.PATH_LATENCY_MAX_MS + 1_000.0)
     newest = fleet.WeightsTarget(model="m", version=3)
     change = catalog.TargetChange(4, newest, NOW)
     reader.known.apply([change], time.now_ms())
@@ -493,7 +495,9 @@
 ) -> None:
     reader, other = Process(time), Process(time)
     acknowledged_ms = announce(reader)
-    other.receive(reader.known, latency_ms=version_ages.WAY_MAX_MS + 1_000.0)
+    other.receive(
+        reader.known, latency_ms=version_ages.PATH_LATENCY_MAX_MS + 1_000.0
+    )
     other.exchange(reader, there_ms=500.0, back_ms=1_500.0)
     assert other.named().earliest_ms <= acknowledged_ms
 
@@ -588,7 +592,9 @@
     reader, relay, other = Process(time), Process(time), Process(time)
     acknowledged_ms = announce(reader)
     # The update took longer than assumed, and was then forwarded.
-    relay.receive(reader.known, latency_ms=version_ages.WAY_MAX_MS + 1_000.0)
+    relay.receive(
+        reader.known, latency_ms=version_ages.PATH_LATENCY_MAX_MS + 1_000.0
+    )
     other.receive(relay.known, latency_ms=5.0)
     for _ in range(version_ages.ANSWERS_MAX):
         other.exchange(relay, there_ms=5.0, back_ms=5.0)
@@ -613,7 +619,9 @@
         time.advance(500.0)
         reader.known.record_outage_sign(BOUND_MS, time.now_ms())
     outage_ms = time.now_ms()
-    other.receive(reader.known, latency_ms=version_ages.WAY_MAX_MS + 1_000.0)
+    other.receive(
+        reader.known, latency_ms=version_ages.PATH_LATENCY_MAX_MS + 1_000.0
+    )
     other.exchange(reader, there_ms=5.0, back_ms=5.0)
     counts_from_ms = other.known.targets["m"].named_ms
     assert counts_from_ms is not None
