--- a/src/marlramp/direct/fleet/version_ages.py
+++ b/src/marlramp/direct/fleet/version_ages.py
@@ -26,7 +26,7 @@
 on which nothing is acknowledged for 2.5 s is closed, and a message waits up to
 1.5 s for a link to open."""
 
-ASK_MS = 400.0
+AGE_QUERY_MS = 400.0
 """Interval between two queries while the age of a version is uncertain."""
 
 ANSWERS_MAX = 6
@@ -91,7 +91,7 @@
             mandatory.
         """
         now_ms = self._clock.now_ms()
-        if now_ms - self._requested_ms < ASK_MS:
+        if now_ms - self._requested_ms < AGE_QUERY_MS:
             return
         uncertain = self._uncertain_versions(bound_ms, now_ms)
         if not uncertain:
--- a/tests/direct/fleet/test_version_ages.py
+++ b/tests/direct/fleet/test_version_ages.py
@@ -352,7 +352,7 @@
     other.receive(reader.known, latency_ms=700.0)
     for latency_ms in (500.0, 3.0, 500.0):
         other.exchange(reader, latency_ms, latency_ms)
-        time.advance(version_ages.ASK_MS)
+        time.advance(version_ages.AGE_QUERY_MS)
         other.ages.tick(BOUND_MS)
     named = other.named()
     assert named.earliest_ms <= acknowledged_ms <= named.latest_ms
@@ -529,11 +529,11 @@
     change = catalog.TargetChange(2, TARGET, ages=None)
     started.known.apply([change], time.now_ms())
     for _ in range(version_ages.ANSWERS_MAX + 1):
-        time.advance(version_ages.ASK_MS)
+        time.advance(version_ages.AGE_QUERY_MS)
         started.ages.tick(BOUND_MS)
     peers: list[str] = ["entry-1"]
     started.ages._peers = lambda: peers
-    time.advance(version_ages.ASK_MS)
+    time.advance(version_ages.AGE_QUERY_MS)
     started.ages.tick(BOUND_MS)
     assert started.queries != []
 
@@ -546,11 +546,11 @@
     other.receive(reader.known, latency_ms=100.0)
     # A link is saturated for three seconds, so that no answer arrives.
     for _ in range(8):
-        time.advance(version_ages.ASK_MS)
+        time.advance(version_ages.AGE_QUERY_MS)
         other.ages.tick(BOUND_MS)
     other.queries.clear()
     for _ in range(5):
-        time.advance(version_ages.ASK_MS)
+        time.advance(version_ages.AGE_QUERY_MS)
         other.ages.tick(BOUND_MS)
     assert other.queries != []
 
@@ -598,11 +598,11 @@
     other.receive(relay.known, latency_ms=5.0)
     for _ in range(version_ages.ANSWERS_MAX):
         other.exchange(relay, there_ms=5.0, back_ms=5.0)
-        time.advance(version_ages.ASK_MS)
+        time.advance(version_ages.AGE_QUERY_MS)
         other.ages.tick(BOUND_MS)
     relay.exchange(reader, there_ms=5.0, back_ms=5.0)
     other.queries.clear()
-    time.advance(version_ages.ASK_MS)
+    time.advance(version_ages.AGE_QUERY_MS)
     other.ages.tick(BOUND_MS)
     other.exchange(relay, there_ms=5.0, back_ms=5.0)
     named = other.named()
