--- a/src/marlramp/direct/fleet/entry_contacts.py
+++ b/src/marlramp/direct/fleet/entry_contacts.py
@@ -22,7 +22,7 @@
 SEED_RETRY_MS = 1_000.0
 """Interval between introductions while the agent has no coordinator."""
 
-PLACE_MS = 500.0
+MERGE_MS = 500.0
 """Minimum interval between two changes of the neighbours. Several coordinators
 report the same neighbours, and each change reassigns the pieces to fetch from
 the origin."""
@@ -152,7 +152,7 @@
             self._contact_seeds()
             for entry in self._entries.values():
                 self._introduce(entry)
-        if self._changed and now_ms - self._merged_ms >= PLACE_MS:
+        if self._changed and now_ms - self._merged_ms >= MERGE_MS:
             self._merged_ms = now_ms
             self._changed = False
             self._merge_views()
--- a/tests/direct/fleet/test_entry_contacts.py
+++ b/tests/direct/fleet/test_entry_contacts.py
@@ -86,7 +86,7 @@
             left=list(left),
         )
         self.contacts.on_message(f"entry-{by}", message)
-        self.time.advance(entry_contacts.PLACE_MS)
+        self.time.advance(entry_contacts.MERGE_MS)
         self.contacts.tick()
 
     def guide(self, by: int, number: int) -> None:
