--- a/src/marlramp/direct/agent_daemon.py
+++ b/src/marlramp/direct/agent_daemon.py
@@ -336,7 +336,7 @@
             self._exchange.on_message(name, message)
         if isinstance(message, fleet_messages.Guide):
             if self._weights.take_guide(message):
-                self._ages.note_news(name)
+                self._ages.on_version_announced(name)
             self._may_cut = message.streams_resume
         if isinstance(message, fleet_messages.VersionAges):
             self._ages.on_answer(name, message)
--- a/src/marlramp/direct/fleet/entry_fleet.py
+++ b/src/marlramp/direct/fleet/entry_fleet.py
@@ -114,7 +114,11 @@
         self._outage_detector = outage_detector.OutageDetector()
         self._rng = random.Random()
         self._catalog_sync = catalog_sync.CatalogSync(
-            known, self.sync, self._changed, time, self._ages.note_news
+            known,
+            self.sync,
+            self._changed,
+            time,
+            self._ages.on_version_announced,
         )
         self._placed = placement.Placement(settings.regions, self.sync, time)
         self._crash_sync = crash_sync.CrashSync(
--- a/src/marlramp/direct/fleet/version_ages.py
+++ b/src/marlramp/direct/fleet/version_ages.py
@@ -77,7 +77,7 @@
         self._source = ""
         self._requested_ms = float("-inf")
 
-    def note_news(self, source: str) -> None:
+    def on_version_announced(self, source: str) -> None:
         """Records which process sent a version, and queries it immediately."""
         self._source = source
         self._requested_ms = self._clock.now_ms()
--- a/tests/direct/fleet/test_version_ages.py
+++ b/tests/direct/fleet/test_version_ages.py
@@ -297,7 +297,7 @@
             version_ages.PATH_LATENCY_MAX_MS, now_ms
         )
         self.known.apply(changes, now_ms, receipt)
-        self.ages.note_news("entry-1")
+        self.ages.on_version_announced("entry-1")
 
     def exchange(self, other: Process, there_ms: float, back_ms: float) -> None:
         """Delivers the queries to another process and the answers back."""
