--- a/src/marlramp/direct/fleet/catalog_sync.py
+++ b/src/marlramp/direct/fleet/catalog_sync.py
@@ -146,7 +146,9 @@
         changes = self._catalog.changes_after(after, self._clock.now_ms())
         self._sync.send(name, self._make_update(after, changes))
 
-    def note_store(self, bound_ms: float, silent_ms: float | None) -> None:
+    def record_store_state(
+        self, bound_ms: float, silent_ms: float | None
+    ) -> None:
         """Records whether the store serves any entry.
 
         Args:
--- a/src/marlramp/direct/fleet/entry_fleet.py
+++ b/src/marlramp/direct/fleet/entry_fleet.py
@@ -434,7 +434,7 @@
             now_ms = self._clock.now_ms()
             if not self._election.store_serves_none(others, now_ms):
                 silent_ms = None
-        self._catalog_sync.note_store(self._version_bound_ms, silent_ms)
+        self._catalog_sync.record_store_state(self._version_bound_ms, silent_ms)
 
     def _query_while_store_silent(self) -> None:
         """Queries another entry while the store does not respond.
--- a/tests/direct/fleet/test_version_ages.py
+++ b/tests/direct/fleet/test_version_ages.py
@@ -486,7 +486,7 @@
     time.advance(BOUND_MS - 500.0)
     requested_ms = time.now_ms()
     time.advance(1_600.0)
-    entry.sync.note_store(BOUND_MS, requested_ms)
+    entry.sync.record_store_state(BOUND_MS, requested_ms)
     assert entry.named_ms() == acknowledged_ms
 
 
