--- a/src/marlramp/direct/entry_daemon.py
+++ b/src/marlramp/direct/entry_daemon.py
@@ -122,7 +122,7 @@
             crash_watch.CrashWatch(
                 self._crashes,
                 address_probe.probe,
-                self._fleet.tell_crashes,
+                self._fleet.announce_crashes,
                 self._totals,
                 self._clock,
             ),
@@ -216,7 +216,7 @@
         pages = {
             **lookup_pages.build(self._lookup, ttl_ms / _MS, self._is_ready),
             **side_server.metrics_pages(self._metrics.text),
-            **crash_pages.build(self._crashes, self._fleet.tell_crashes),
+            **crash_pages.build(self._crashes, self._fleet.announce_crashes),
             **limit_pages.build(self._fleet.limits, self._table, self._clock),
             **pause_pages.build(self._table, self._clock),
         }
--- a/src/marlramp/direct/fleet/entry_fleet.py
+++ b/src/marlramp/direct/fleet/entry_fleet.py
@@ -368,7 +368,7 @@
                 if view.born_ms == report.born_ms:
                     self._on_leaving(view)
 
-    def tell_crashes(self) -> None:
+    def announce_crashes(self) -> None:
         """Announces a crash that this entry noticed."""
         self._crash_sync.tell_soon()
 
