--- a/src/marlramp/direct/fleet/crash_sync.py
+++ b/src/marlramp/direct/fleet/crash_sync.py
@@ -146,7 +146,7 @@
             self._rumours.next_batch(now_ms), now_ms
         )
         if crashes:
-            self._sync.send_some(fleet_messages.CrashNews(crashes=crashes))
+            self._sync.send_gossip(fleet_messages.CrashNews(crashes=crashes))
         self._log_verdicts()
 
     def tell_soon(self) -> None:
--- a/src/marlramp/direct/fleet/limit_sync.py
+++ b/src/marlramp/direct/fleet/limit_sync.py
@@ -159,7 +159,7 @@
             self._show(replica_id)
         told = self.limits.updates_of(self._rumours.next_batch(now_ms), now_ms)
         if told:
-            self._sync.send_some(fleet_messages.LimitNews(limits=told))
+            self._sync.send_gossip(fleet_messages.LimitNews(limits=told))
 
     def _tell_first(self, replica_id: str) -> None:
         alive = self._sync.alive(members.MemberKind.ENTRY)
--- a/src/marlramp/direct/fleet/member_sync.py
+++ b/src/marlramp/direct/fleet/member_sync.py
@@ -263,9 +263,9 @@
     def _send_updates(self, now_ms: clock.Millis) -> None:
         updates = self._gossip_queue.next_batch(now_ms)
         if updates:
-            self.send_some(fleet_messages.MembersNews(news=updates))
+            self.send_gossip(fleet_messages.MembersNews(news=updates))
 
-    def send_some(self, message: msgspec.Struct) -> None:
+    def send_gossip(self, message: msgspec.Struct) -> None:
         """Sends a message to a few random entries (one gossip cycle)."""
         entries = self.alive(members.MemberKind.ENTRY)
         near = [entry.vm_id for entry in entries if self.is_near(entry)]
