--- a/src/marlramp/direct/fleet/catalog_sync.py
+++ b/src/marlramp/direct/fleet/catalog_sync.py
@@ -16,8 +16,8 @@
 from marlramp.core import event_time
 from marlramp.core import members
 from marlramp.core import rendezvous
+from marlramp.direct.fleet import catalog_codec
 from marlramp.direct.fleet import catalog_log
-from marlramp.direct.fleet import catalog_news
 from marlramp.direct.fleet import member_sync
 from marlramp.direct.fleet import version_ages
 from marlramp.protocol import fleet_messages
@@ -97,7 +97,7 @@
         """
         now_ms = self._clock.now_ms()
         before = self._catalog.revision
-        changes = catalog_news.unpack(update.changes)
+        changes = catalog_codec.unpack(update.changes)
         receipt = event_time.unsolicited(
             version_ages.PATH_LATENCY_MAX_MS, now_ms
         )
@@ -129,7 +129,7 @@
             change.revision <= self._near_sent_revision for change in changes
         ):
             return
-        packed = catalog_news.pack(self._aged(changes))
+        packed = catalog_codec.pack(self._aged(changes))
         self._send_near(
             msgspec.structs.replace(update, changes=packed, pass_on=False)
         )
@@ -236,5 +236,5 @@
         return fleet_messages.CatalogNews(
             after=after,
             revision=self._catalog.revision,
-            changes=catalog_news.pack(changes),
+            changes=catalog_codec.pack(changes),
         )
