--- a/src/marlramp/direct/agent_daemon.py
+++ b/src/marlramp/direct/agent_daemon.py
@@ -447,7 +447,7 @@
 
     async def _learn_unguided(self) -> None:
         await self._weights.learn_unguided(
-            self._store, lambda: self._contacts.guided
+            self._store, lambda: self._contacts.is_coordinated
         )
 
 
--- a/src/marlramp/direct/fleet/entry_contacts.py
+++ b/src/marlramp/direct/fleet/entry_contacts.py
@@ -102,7 +102,7 @@
             self._announce(self._own.incarnation + 1, state)
 
     @property
-    def guided(self) -> bool:
+    def is_coordinated(self) -> bool:
         """Whether any coordinator counts as alive."""
         horizon_ms = self._clock.now_ms() - members.ALIVE_TO_AGENT_MS
         return any(view.heard_ms >= horizon_ms for view in self._views.values())
--- a/tests/direct/fleet/test_entry_contacts.py
+++ b/tests/direct/fleet/test_entry_contacts.py
@@ -165,10 +165,10 @@
 ) -> None:
     one.list_neighbours(1, 1, [agent(1)])
     one.take_sent()
-    assert one.contacts.guided
+    assert one.contacts.is_coordinated
     one.time.advance(members.ALIVE_TO_AGENT_MS + 1.0)
     one.contacts.tick()
-    assert not one.contacts.guided
+    assert not one.contacts.is_coordinated
     assert {name for name, _ in one.take_sent()} == {
         SEED_LINK,
         "entry-1",
