--- a/src/marlramp/direct/agent_daemon.py
+++ b/src/marlramp/direct/agent_daemon.py
@@ -342,7 +342,7 @@
             self._ages.on_answer(name, message)
 
     def _guide_to_ask(self) -> list[str]:
-        guides = self._contacts.guides
+        guides = self._contacts.coordinators
         return [random.choice(guides)] if guides else []
 
     def _take_origin(self, origin: str) -> None:
--- a/src/marlramp/direct/fleet/entry_contacts.py
+++ b/src/marlramp/direct/fleet/entry_contacts.py
@@ -108,7 +108,7 @@
         return any(view.heard_ms >= horizon_ms for view in self._views.values())
 
     @property
-    def guides(self) -> list[str]:
+    def coordinators(self) -> list[str]:
         """VMs of the coordinators that this agent received something from.
 
         Silent ones are removed by `tick`.
