--- a/src/marlramp/direct/fleet/entry_fleet.py
+++ b/src/marlramp/direct/fleet/entry_fleet.py
@@ -305,7 +305,7 @@
             return
         self._standby_query_ms = now_ms
         for name in self._election.readers_to_query(self._staying()):
-            self._ages.ask(name)
+            self._ages.query(name)
 
     # Messages.
 
@@ -451,7 +451,7 @@
         far = [each for each in alive if not self.sync.is_near(each)]
         candidates = far or alive
         if candidates:
-            self._ages.ask(self._rng.choice(candidates).vm_id)
+            self._ages.query(self._rng.choice(candidates).vm_id)
 
     def _send_beacon(self) -> None:
         """Sends all entries a beacon while this entry watches the store.
--- a/src/marlramp/direct/fleet/version_ages.py
+++ b/src/marlramp/direct/fleet/version_ages.py
@@ -81,7 +81,7 @@
         """Records which process sent a version, and queries it immediately."""
         self._source = source
         self._requested_ms = self._clock.now_ms()
-        self.ask(source)
+        self.query(source)
 
     def tick(self, bound_ms: float) -> None:
         """Repeats the queries if they are due.
@@ -100,9 +100,9 @@
         names = [self._source] if self._source else []
         names.extend(name for name in self._peers() if name not in names)
         for name in names:
-            self.ask(name)
+            self.query(name)
 
-    def ask(self, name: str) -> None:
+    def query(self, name: str) -> None:
         """Sends a query to one process."""
         self._number += 1
         self._pending[self._number] = self._clock.now_ms()
