--- a/src/marlramp/direct/fleet/catalog_sync.py
+++ b/src/marlramp/direct/fleet/catalog_sync.py
@@ -141,7 +141,7 @@
         sent = msgspec.structs.replace(update, told_near=True)
         self._sync.send_all(self._near_entries(), sent)
 
-    def tell(self, name: str, after: int) -> None:
+    def send_changes(self, name: str, after: int) -> None:
         """Sends an entry the changes after a revision."""
         changes = self._catalog.changes_after(after, self._clock.now_ms())
         self._sync.send(name, self._make_update(after, changes))
--- a/src/marlramp/direct/fleet/entry_fleet.py
+++ b/src/marlramp/direct/fleet/entry_fleet.py
@@ -329,7 +329,7 @@
             case fleet_messages.CatalogNews():
                 self._catalog_sync.on_news(name, message)
             case fleet_messages.CatalogRequest():
-                self._catalog_sync.tell(name, message.after)
+                self._catalog_sync.send_changes(name, message.after)
             case fleet_messages.VersionAgesRequest():
                 self._answer_ages(name, message)
             case fleet_messages.VersionAges():
--- a/tests/direct/fleet/test_version_ages.py
+++ b/tests/direct/fleet/test_version_ages.py
@@ -222,7 +222,7 @@
     update = msgspec.structs.replace(
         reader.member.take_update(), pass_on=True, told_near=False
     )
-    reader.sync.tell("entry-2", 0)
+    reader.sync.send_changes("entry-2", 0)
     relay.sync.on_news("entry-1", reader.member.take_update())
     assert take_recipients(relay) == []
     relay.sync.on_news("entry-1", update)
