--- a/src/marlramp/direct/fleet/entry_fleet.py
+++ b/src/marlramp/direct/fleet/entry_fleet.py
@@ -327,7 +327,7 @@
                 )
                 self.on_revision(name, message.revision)
             case fleet_messages.CatalogNews():
-                self._catalog_sync.on_news(name, message)
+                self._catalog_sync.on_update(name, message)
             case fleet_messages.CatalogRequest():
                 self._catalog_sync.send_changes(name, message.after)
             case fleet_messages.VersionAgesRequest():
