--- a/src/marlramp/direct/entry_daemon.py
+++ b/src/marlramp/direct/entry_daemon.py
@@ -258,7 +258,7 @@
     @property
     def entries(self) -> int:
         """The most entries known lately."""
-        return self._fleet.entries
+        return self._fleet.entry_count
 
     def refuses(self) -> bool:
         """Whether this entry takes no new requests."""
--- a/src/marlramp/direct/fleet/entry_fleet.py
+++ b/src/marlramp/direct/fleet/entry_fleet.py
@@ -184,7 +184,7 @@
         await self._relay.run()
 
     @property
-    def entries(self) -> int:
+    def entry_count(self) -> int:
         """Number of entries in the roster, with this and recently lost ones."""
         return self.sync.roster.count(members.MemberKind.ENTRY)
 
