--- a/src/marlramp/direct/fleet/entry_fleet.py
+++ b/src/marlramp/direct/fleet/entry_fleet.py
@@ -443,7 +443,9 @@
         another region is preferred, because the link of the whole own region
         may be saturated.
         """
-        requested_ms = None if self._reader is None else self._reader.retried_ms
+        requested_ms = (
+            None if self._reader is None else self._reader.retry_requested_ms
+        )
         now_ms = self._clock.now_ms()
         if not self._outage_detector.is_query_due(requested_ms, now_ms):
             return
--- a/src/marlramp/direct/fleet/store_reader.py
+++ b/src/marlramp/direct/fleet/store_reader.py
@@ -147,7 +147,7 @@
         return self._silent_call
 
     @property
-    def retried_ms(self) -> float | None:
+    def retry_requested_ms(self) -> float | None:
         """When the current call was sent, if the previous call failed."""
         return self._requested_ms if self._failing else None
 
--- a/tests/direct/fleet/test_store_outage.py
+++ b/tests/direct/fleet/test_store_outage.py
@@ -61,7 +61,7 @@
         return self.last
 
     @property
-    def retried_ms(self) -> float | None:
+    def retry_requested_ms(self) -> float | None:
         return self.requested_ms
 
 
