--- a/src/marlramp/direct/agent_daemon.py
+++ b/src/marlramp/direct/agent_daemon.py
@@ -369,13 +369,13 @@
             self._exchange.on_message(name, message)
         if isinstance(message, fleet_messages.Guide):
             if self._weights.take_guide(message):
-                self._ages.note_news(name)
+                self._ages.on_version_announced(name)
             self._may_cut = message.streams_resume
         if isinstance(message, fleet_messages.VersionAges):
             self._ages.on_answer(name, message)
 
     def _pick_coordinator(self) -> list[str]:
-        coordinators = self._contacts.guides
+        coordinators = self._contacts.coordinators
         return [random.choice(coordinators)] if coordinators else []
 
     def _set_origin(self, origin: str) -> None:
@@ -489,7 +489,7 @@
 
     async def _read_unguided(self) -> None:
         await self._weights.learn_unguided(
-            self._store, lambda: self._contacts.guided
+            self._store, lambda: self._contacts.is_coordinated
         )
 
 
--- a/src/marlramp/direct/entry_daemon.py
+++ b/src/marlramp/direct/entry_daemon.py
@@ -129,7 +129,7 @@
             crash_detector.CrashDetector(
                 self._crashes,
                 address_probe.probe,
-                self._fleet.tell_crashes,
+                self._fleet.announce_crashes,
                 self._totals,
                 self._clock,
             ),
@@ -227,7 +227,7 @@
         pages = {
             **lookup_pages.build(self._lookup, ttl_ms / _MS, self._is_ready),
             **page_server.metrics_pages(self._metrics.text),
-            **crash_pages.build(self._crashes, self._fleet.tell_crashes),
+            **crash_pages.build(self._crashes, self._fleet.announce_crashes),
             **limit_pages.build(self._fleet.limits, self._table, self._clock),
             **pause_pages.build(self._table, self._clock),
         }
@@ -269,7 +269,7 @@
     @property
     def entries(self) -> int:
         """The largest number of entries known recently."""
-        return self._fleet.entries
+        return self._fleet.entry_count
 
     def refuses(self) -> bool:
         """Returns whether this entry refuses new requests."""
