--- a/src/marlramp/direct/fleet/agent_guide.py
+++ b/src/marlramp/direct/fleet/agent_guide.py
@@ -1,4 +1,4 @@
-"""Tells agents what they need to know: weights, engine, origin, neighbours."""
+"""Sends agents what they need to know: weights, engine, origin, neighbours."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 from marlramp.protocol import fleet_messages
 
 REFRESH_MS = 1_500.0
-"""Agents hear from their guides at least this often: half the time after which
-an agent takes a guide as gone."""
+"""Maximum time between two messages of a coordinator to its agents: half the
+time after which an agent treats a coordinator as gone."""
 
 
-class _Told(msgspec.Struct):
-    """What one agent was told of its neighbours.
+class _SentNeighbours(msgspec.Struct):
+    """The neighbours that were last sent to one agent.
 
     Attributes:
-      number: number of that message.
-      entries: the entries named.
-      agents: the agents named, by VM.
+      number: number of the message that contained them.
+      entries: the entries that the agent is in contact with.
+      agents: the agents whose engine answers, by VM.
     """
 
     number: int
@@ -34,7 +34,7 @@
 
 
 class AgentGuide:
-    """Keeps informed the agents that this entry guides."""
+    """Sends updates to the agents that this entry coordinates."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         sync: member_sync.MemberSync,
         time: clock.Clock,
     ) -> None:
-        """Tells what `known` and `placed` hold through `sync`.
+        """Starts without agents; the first `tick` after a division finds them.
 
         Args:
           known: the catalog.
@@ -55,72 +55,79 @@
         self._placed = placed
         self._sync = sync
         self._clock = time
-        self._guided: set[str] = set()
-        self._told: dict[str, _Told] = {}
-        self._told_ms = float("-inf")
+        self._coordinated: set[str] = set()
+        self._sent: dict[str, _SentNeighbours] = {}
+        self._refreshed_ms = float("-inf")
 
     def tell_all(self) -> None:
-        """Tells all agents that this entry guides of the weights."""
-        self._told_ms = self._clock.now_ms()
-        for vm_id in sorted(self._guided):
-            self._tell_weights(vm_id)
+        """Sends the weights to all agents that this entry coordinates."""
+        self._refreshed_ms = self._clock.now_ms()
+        for vm_id in sorted(self._coordinated):
+            self._send_weights(vm_id)
 
     def tell(self, vm_id: str) -> None:
-        """Tells one agent all, which has just started or found this entry."""
-        self._told.pop(vm_id, None)
-        self._tell_neighbours(vm_id, self._agents())
-        self._tell_weights(vm_id)
+        """Sends complete information to one agent.
+
+        This is needed when the agent starts, finds this entry or has missed
+        an update.
+        """
+        self._sent.pop(vm_id, None)
+        self._send_neighbours(vm_id, self._agents())
+        self._send_weights(vm_id)
 
     def tick(self, *, divided: bool) -> None:
-        """Tells agents what changed, and all of them now and then.
+        """Sends changed neighbours, and all weights every `REFRESH_MS`.
 
         Args:
-          divided: whether the cells were computed anew.
+          divided: whether the cells were recomputed.
         """
         if divided:
-            self._find_guided()
+            self._find_coordinated()
             agents = self._agents()
-            for vm_id in sorted(self._guided):
-                self._tell_neighbours(vm_id, agents)
-        if self._clock.now_ms() - self._told_ms >= REFRESH_MS:
+            for vm_id in sorted(self._coordinated):
+                self._send_neighbours(vm_id, agents)
+        if self._clock.now_ms() - self._refreshed_ms >= REFRESH_MS:
             self.tell_all()
         self._suspect_silent()
 
-    def _find_guided(self) -> None:
-        """Finds the agents that are guided from here, also silent ones."""
+    def _find_coordinated(self) -> None:
+        """Finds the agents, also silent ones, that this entry coordinates."""
         own = self._sync.roster.own.vm_id
         known = self._placed.cells
-        guided = {
+        coordinated = {
             vm_id
             for cell in known.all
             for vm_id in cell.agents
             if own in agent_coordinators.coordinators_of(vm_id, known)
         }
-        for vm_id in self._guided - guided:
-            self._told.pop(vm_id, None)
-        self._guided = guided
+        for vm_id in self._coordinated - coordinated:
+            self._sent.pop(vm_id, None)
+        self._coordinated = coordinated
 
     def _suspect_silent(self) -> None:
-        """Suspects guided agents that were heard once and fell silent."""
+        """Suspects coordinated agents that have become silent.
+
+        An agent that this entry never heard from is not suspected.
+        """
         now_ms = self._clock.now_ms()
-        for vm_id in sorted(self._guided):
+        for vm_id in sorted(self._coordinated):
             record = self._sync.roster.get(vm_id)
             if record is None or record.heard_ms == float("-inf"):
                 continue
             if now_ms - record.heard_ms >= members.ALIVE_MS:
                 self._sync.suspect(vm_id)
 
-    def _tell_weights(self, vm_id: str) -> None:
-        guide = self._guide()
-        if guide is None:
+    def _send_weights(self, vm_id: str) -> None:
+        message = self._build_message()
+        if message is None:
             return
-        told = self._told.get(vm_id)
-        number = 0 if told is None else told.number
-        numbered = msgspec.structs.replace(guide, neighbours=number)
+        sent = self._sent.get(vm_id)
+        number = 0 if sent is None else sent.number
+        numbered = msgspec.structs.replace(message, neighbours=number)
         self._sync.send(vm_id, numbered)
 
-    def _guide(self) -> fleet_messages.Guide | None:
-        """Returns what agents need to know, None before a configuration."""
+    def _build_message(self) -> fleet_messages.Guide | None:
+        """Returns the message for agents, None without a configuration."""
         config = self._catalog.config
         if config is None:
             return None
@@ -147,19 +154,19 @@
             agent.vm_id: agent for agent in self._placed.agents_with_engine()
         }
 
-    def _tell_neighbours(
+    def _send_neighbours(
         self, vm_id: str, agents: Mapping[str, members.Member]
     ) -> None:
-        """Tells an agent how its neighbours changed."""
+        """Sends an agent the changes of its neighbours, if there are any."""
         entries = self._entries_of(vm_id)
-        told = self._told.get(vm_id)
-        before = {} if told is None else told.agents
+        sent = self._sent.get(vm_id)
+        before = {} if sent is None else sent.agents
         joined = [agent for name, agent in agents.items() if name not in before]
         left = [name for name in before if name not in agents]
-        same_agents = not joined and not left
-        if told is not None and entries == told.entries and same_agents:
+        agents_unchanged = not joined and not left
+        if sent is not None and entries == sent.entries and agents_unchanged:
             return
-        after = 0 if told is None else told.number
+        after = 0 if sent is None else sent.number
         message = fleet_messages.Neighbours(
             after=after,
             number=after + 1,
@@ -168,12 +175,14 @@
             left=left,
         )
         if self._sync.send(vm_id, message):
-            self._told[vm_id] = _Told(after + 1, entries, dict(agents))
+            self._sent[vm_id] = _SentNeighbours(
+                after + 1, entries, dict(agents)
+            )
 
     def _entries_of(self, vm_id: str) -> list[members.Member]:
-        """Returns the entries that an agent deals with: cell and guides.
+        """Returns the entries of an agent's cell and its coordinators.
 
-        An agent whose place is not known yet gets this entry's own cell.
+        An agent whose cell is not known yet gets this entry's own cell.
         """
         known = self._placed.cells
         own = self._sync.roster.own
--- a/src/marlramp/direct/fleet/crash_keeper.py
+++ b/src/marlramp/direct/fleet/crash_keeper.py
@@ -1,10 +1,11 @@
-"""An agent's part in keeping what is known of crashing requests.
-
-Entries that all end at once, or that are cut off from one another, find what
-they knew at the agents that they reach. Each agent tells its digest to one
-entry at a time, and the entry asks if its own differs; then both tell each
-other what they lack. Agents set the pace, so that what an entry hears and tells
-is spread over time and does not grow with the entries that an agent deals with.
+"""Replicates the crash ledger of entries on agents.
+
+Entries that all end at once, or that are partitioned from each other, recover
+their ledger from the agents that they reach. Each agent sends its digest to one
+entry at a time, and the entry requests crashes if its own digest differs; then
+both send each other what they lack. Agents set the pace. The traffic of an
+entry is thereby spread over time and does not grow with the number of entries
+that an agent is in contact with.
 """
 
 from __future__ import annotations
@@ -20,18 +21,19 @@
 from marlramp.protocol import fleet_messages
 
 DIGEST_MS = 500.0
-"""Between two digests, each told to another entry that the agent deals with."""
+"""Time between two digests. Each goes to another entry that the agent is in
+contact with."""
 
 PAUSE_PER_CRASH_MS = 35.0
-"""By how much the next digest waits longer for each crash that was told in
-answer to the last: 32, some 8 kB, for 1.1 s."""
+"""Delay of the next digest for each crash that was sent in answer to the last
+one: 1.1 s for 32 crashes, some 8 kB."""
 
-FORGET_MS = 1_000.0
-"""Between two looks for crashes that are old."""
+REMOVE_INTERVAL_MS = 1_000.0
+"""Time between two removals of old crashes."""
 
 
 class CrashKeeper:
-    """Crashes that entries told an agent, for entries that lack them."""
+    """Keeps the crashes that entries send, for entries that lack them."""
 
     def __init__(
         self,
@@ -40,73 +42,77 @@
         time: clock.Clock,
         rng: random.Random,
     ) -> None:
-        """Knows no crash.
+        """Starts with an empty ledger.
 
         Args:
-          contacts: the entries that the agent deals with.
+          contacts: the entries that the agent is in contact with.
           send: sends a message to one of them.
           time: the clock.
-          rng: draws whom to tell, and what is told of much.
+          rng: picks receivers, and crashes if there are more than one answer
+            holds, at random.
         """
         self._rng = rng
         self._contacts = contacts
         self._send = send
         self._clock = time
         self._ledger = crash_ledger.CrashLedger()
-        self._turns: list[str] = []
-        self._due_ms = float("-inf")
-        self._forgot_ms = float("-inf")
+        self._cycle: list[str] = []
+        self._digest_due_ms = float("-inf")
+        self._removed_ms = float("-inf")
 
     @property
     def digest(self) -> int:
-        """Digest of the crashes known here."""
+        """Digest of the crashes that this agent knows."""
         return self._ledger.digest()
 
     def on_message(self, name: str, message: fleet_messages.FromMember) -> None:
-        """Takes a message of an entry about crashes."""
+        """Handles an entry's message about crashes."""
         match message:
             case fleet_messages.CrashNews():
                 now_ms = self._clock.now_ms()
                 for crash in message.crashes:
                     self._ledger.merge(crash, now_ms)
                 if message.answers:
-                    self._pause(len(message.crashes))
+                    self._delay_digest(len(message.crashes))
             case fleet_messages.CrashRequest():
                 self._answer(name, message)
 
     def tick(self) -> None:
-        """Tells an entry what is known, and forgets what is old."""
+        """Sends the digest to an entry when due, and removes old crashes."""
         now_ms = self._clock.now_ms()
-        if now_ms - self._forgot_ms >= FORGET_MS:
-            self._forgot_ms = now_ms
+        if now_ms - self._removed_ms >= REMOVE_INTERVAL_MS:
+            self._removed_ms = now_ms
             self._ledger.tick(now_ms)
-        if now_ms < self._due_ms:
+        if now_ms < self._digest_due_ms:
             return
         entry = self._next_entry()
         if entry is not None:
-            self._due_ms = now_ms + DIGEST_MS
+            self._digest_due_ms = now_ms + DIGEST_MS
             self._send(entry, fleet_messages.CrashDigest(digest=self.digest))
 
     def _next_entry(self) -> str | None:
-        """Returns the entry whose turn it is; each comes once a round."""
+        """Returns the next entry of the current cycle, None if there is none.
+
+        Each cycle contains every entry once, in random order.
+        """
         entries = self._contacts.entries
-        self._turns = [name for name in self._turns if name in entries]
-        if not self._turns:
-            self._turns = self._rng.sample(entries, len(entries))
-        return self._turns.pop() if self._turns else None
+        self._cycle = [name for name in self._cycle if name in entries]
+        if not self._cycle:
+            self._cycle = self._rng.sample(entries, len(entries))
+        return self._cycle.pop() if self._cycle else None
 
-    def _pause(self, crashes: int) -> None:
-        """Puts the next digest off for what was told after the last."""
-        self._due_ms += crashes * PAUSE_PER_CRASH_MS
+    def _delay_digest(self, crashes: int) -> None:
+        """Delays the next digest for crashes exchanged after the last one."""
+        self._digest_due_ms += crashes * PAUSE_PER_CRASH_MS
 
     def _answer(self, name: str, request: fleet_messages.CrashRequest) -> None:
-        """Tells an entry what it lacks, and asks it for the same."""
+        """Sends an entry what it lacks, and requests what this agent lacks."""
         crashes = self._ledger.differing(request.digests, self._rng)
-        told = self._ledger.export(crashes, self._clock.now_ms())
-        if told:
-            news = fleet_messages.CrashNews(crashes=told, answers=True)
-            self._send(name, news)
-            self._pause(len(told))
+        answer = self._ledger.export(crashes, self._clock.now_ms())
+        if answer:
+            message = fleet_messages.CrashNews(crashes=answer, answers=True)
+            self._send(name, message)
+            self._delay_digest(len(answer))
         digests = self._ledger.digests()
         if digests != request.digests:
             self._send(name, fleet_messages.CrashRequest(digests=digests))
--- a/src/marlramp/direct/fleet/crash_sync.py
+++ b/src/marlramp/direct/fleet/crash_sync.py
@@ -1,8 +1,10 @@
-"""Keeps what all entries know of crashing requests alike.
+"""Synchronises the crash ledger of an entry with other entries and agents.
 
-News are told to entries and agents at once, and passed on by those that hear
-them. What an entry misses (it started late, was cut off or suspended) shows in
-the digests that entries exchange and agents tell, and is asked for.
+An entry sends new crashes to other entries and to agents at once, and entries
+forward them by gossip. An entry misses crashes if it starts late, is
+partitioned or is suspended. Entries exchange digests of their ledgers and
+agents send theirs to entries; an entry whose digest differs requests what it
+lacks.
 """
 
 from __future__ import annotations
@@ -22,35 +24,40 @@
 from marlramp.protocol import fleet_messages
 
 COMPARE_MS = 500.0
-"""Between two requests to entries for crashes that the own ledger lacks."""
+"""Least time between two requests to entries for crashes that this entry
+lacks."""
 
 COMPARE_MAX_MS = 2_000.0
-"""The same while answers bring nothing new: ledgers that hold as many crashes
-as they may forget them at different times, and differ for no good."""
+"""Maximum of that time. It doubles with each answer that brings nothing new:
+full ledgers drop crashes at different times, so their digests keep differing
+although nothing can be learnt."""
 
-TELL_MS = 50.0
-"""Time taken up by each crash told in answer: 20 a second, some 5 kB/s."""
+ANSWER_MS_PER_CRASH = 50.0
+"""Time that each crash in an answer takes up: 20 crashes per second, some
+5 kB/s."""
 
-TELL_AHEAD_MS = 400.0
-"""Time taken up ahead with which agents are still asked: many that join at once
-are told of a few crashes at once, and of many in turn."""
+ANSWER_AHEAD_MS = 400.0
+"""Time taken up in advance up to which agents are still sent requests. Agents
+that join together are sent a few crashes all at once, and many crashes one
+agent after the other."""
 
 GATHER_MS = 5.0
-"""How long the requests that a crash broke off are gathered before they are
-told in one message."""
+"""How long the requests that a crash aborted are collected before they are sent
+in one message."""
 
 FIRST_TARGETS = 16
-"""Entries told of an own crash at once; the others hear it from them."""
+"""Entries that a crash noticed here is sent to at once; they forward it."""
 
 AGENT_TARGETS = 2
-"""Agents that each entry tells of an own crash; they ask entries for others."""
+"""Agents that a crash noticed here is sent to; agents request other crashes
+from entries."""
 
-FORGET_MS = 1_000.0
-"""Between two looks for crashes that are old."""
+REMOVE_INTERVAL_MS = 1_000.0
+"""Time between two removals of old crashes."""
 
 
 class CrashSync:
-    """This entry's part in sharing crashes."""
+    """Shares the crashes that this entry knows with other processes."""
 
     def __init__(
         self,
@@ -61,126 +68,131 @@
         time: clock.Clock,
         rng: random.Random,
     ) -> None:
-        """Knows only what this entry sees itself.
+        """Starts with the crashes in `record` and no updates to send.
 
         Args:
-          record: what it sees.
+          record: the crashes that this entry knows.
           sync: the members.
-          agents: tells the VMs of the agents that report to this entry.
+          agents: returns the VMs of the agents that report to this entry.
           totals: counters.
           time: the clock.
-          rng: draws whom to tell.
+          rng: picks receivers and crashes at random.
         """
         self._record = record
         self._sync = sync
         self._agents = agents
         self._rng = rng
-        self._gathering = False
+        self._send_scheduled = False
         self._totals = totals
         self._clock = time
-        self._rumours: gossip.GossipQueue[ids.CrashId] = gossip.GossipQueue()
+        self._gossip: gossip.GossipQueue[ids.CrashId] = gossip.GossipQueue()
         self._compare_pause_ms = COMPARE_MS
         self._compared_ms = float("-inf")
-        self._telling_until_ms = float("-inf")
-        self._forgot_ms = float("-inf")
+        self._answering_until_ms = float("-inf")
+        self._removed_ms = float("-inf")
 
     @property
     def digest(self) -> int:
-        """Digest of the crashes known here."""
+        """Digest of the crashes that this entry knows."""
         return self._record.ledger.digest()
 
     def on_digest(self, name: str, digest: int) -> None:
-        """Asks an entry whose ledger differs for what it knows."""
+        """Requests crashes from an entry whose ledger differs."""
         since_ms = self._clock.now_ms() - self._compared_ms
         if digest == self.digest or since_ms < self._compare_pause_ms:
             return
         self._compared_ms = self._clock.now_ms()
-        self._ask(name)
+        self._request_crashes(name)
 
     def on_agent_digest(self, name: str, digest: int) -> None:
-        """Asks an agent whose ledger differs; it asks back what it lacks.
+        """Requests crashes from an agent whose ledger differs.
 
-        Agents set the pace, see `crash_keeper`. Only an entry that has told
-        more than it should lately leaves one to the next entry: choosing among
-        those that differ would leave out the same ones again and again.
+        The agent then requests what it lacks itself. Agents set the pace, see
+        `crash_keeper`. An entry skips an agent, and leaves it to the next
+        entry, only if its recent answers exceed its rate. If it selected among
+        the agents that differ, it would skip the same agents again and again.
         """
-        ahead_ms = self._telling_until_ms - self._clock.now_ms()
-        if digest != self.digest and ahead_ms <= TELL_AHEAD_MS:
-            self._ask(name)
+        ahead_ms = self._answering_until_ms - self._clock.now_ms()
+        if digest != self.digest and ahead_ms <= ANSWER_AHEAD_MS:
+            self._request_crashes(name)
 
-    def _ask(self, name: str) -> None:
+    def _request_crashes(self, name: str) -> None:
         digests = self._record.ledger.digests()
         self._sync.send(name, fleet_messages.CrashRequest(digests=digests))
 
-    def on_news(self, news: fleet_messages.CrashNews) -> None:
-        """Takes what another process knows."""
-        is_new = self._record.merge(news.crashes, self._clock.now_ms())
+    def on_news(self, message: fleet_messages.CrashNews) -> None:
+        """Merges crashes that another process sends."""
+        is_new = self._record.merge(message.crashes, self._clock.now_ms())
         if is_new:
             self._compare_pause_ms = COMPARE_MS
-        elif news.answers:
+        elif message.answers:
             doubled_ms = 2.0 * self._compare_pause_ms
             self._compare_pause_ms = min(COMPARE_MAX_MS, doubled_ms)
 
     def on_request(
         self, name: str, request: fleet_messages.CrashRequest
     ) -> None:
-        """Tells an entry what its ledger may lack."""
+        """Sends a process crashes that its ledger may lack."""
         ledger = self._record.ledger
         crashes = ledger.differing(request.digests, self._rng)
         now_ms = self._clock.now_ms()
-        told = ledger.export(crashes, now_ms)
-        if told:
-            news = fleet_messages.CrashNews(crashes=told, answers=True)
-            self._sync.send(name, news)
-            begun_ms = max(now_ms, self._telling_until_ms)
-            self._telling_until_ms = begun_ms + len(told) * TELL_MS
+        answer = ledger.export(crashes, now_ms)
+        if answer:
+            message = fleet_messages.CrashNews(crashes=answer, answers=True)
+            self._sync.send(name, message)
+            start_ms = max(now_ms, self._answering_until_ms)
+            self._answering_until_ms = (
+                start_ms + len(answer) * ANSWER_MS_PER_CRASH
+            )
 
     def tick(self) -> None:
-        """Passes on what is new, and says what follows from it."""
+        """Forwards new crashes, removes old ones and logs blocked requests."""
         now_ms = self._clock.now_ms()
-        if now_ms - self._forgot_ms >= FORGET_MS:
-            self._forgot_ms = now_ms
+        if now_ms - self._removed_ms >= REMOVE_INTERVAL_MS:
+            self._removed_ms = now_ms
             self._record.tick(now_ms)
-        self._queue_untold(now_ms)
+        self._queue_changed(now_ms)
         crashes = self._record.ledger.export(
-            self._rumours.next_batch(now_ms), now_ms
+            self._gossip.next_batch(now_ms), now_ms
         )
         if crashes:
             self._sync.send_some(fleet_messages.CrashNews(crashes=crashes))
-        self._log_verdicts()
+        self._log_block_changes()
 
     def tell_soon(self) -> None:
-        """Tells others of a crash that this entry has noticed."""
-        if not self._gathering:
-            self._gathering = True
+        """Schedules sending of the crashes noticed here to other processes."""
+        if not self._send_scheduled:
+            self._send_scheduled = True
             delay_s = GATHER_MS / clock.MILLIS_PER_SECOND
-            asyncio.get_running_loop().call_later(delay_s, self._tell_first)
+            asyncio.get_running_loop().call_later(delay_s, self._send_first)
 
-    def _tell_first(self) -> None:
-        self._gathering = False
+    def _send_first(self) -> None:
+        self._send_scheduled = False
         now_ms = self._clock.now_ms()
-        crashes = self._record.ledger.export(self._queue_untold(now_ms), now_ms)
+        crashes = self._record.ledger.export(
+            self._queue_changed(now_ms), now_ms
+        )
         if not crashes:
             return
         alive = self._sync.alive(members.MemberKind.ENTRY)
-        targets = self._draw([entry.vm_id for entry in alive], FIRST_TARGETS)
-        targets += self._draw(self._agents(), AGENT_TARGETS)
+        targets = self._sample([entry.vm_id for entry in alive], FIRST_TARGETS)
+        targets += self._sample(self._agents(), AGENT_TARGETS)
         self._sync.send_all(targets, fleet_messages.CrashNews(crashes=crashes))
-        self._log_verdicts()
+        self._log_block_changes()
 
-    def _queue_untold(self, now_ms: clock.Millis) -> set[ids.CrashId]:
-        """Queues what changed to be passed on; returns it."""
-        untold = self._record.pop_changed()
-        for crash in untold:
-            self._rumours.add(crash, crash, now_ms)
-        return untold
+    def _queue_changed(self, now_ms: clock.Millis) -> set[ids.CrashId]:
+        """Queues changed crashes for gossip and returns them."""
+        changed = self._record.pop_changed()
+        for crash in changed:
+            self._gossip.add(crash, crash, now_ms)
+        return changed
 
-    def _draw(self, vm_ids: list[str], count: int) -> list[str]:
+    def _sample(self, vm_ids: list[str], count: int) -> list[str]:
         return self._rng.sample(vm_ids, min(count, len(vm_ids)))
 
-    def _log_verdicts(self) -> None:
-        verdicts = self._record.pop_block_changes()
-        for fingerprint, evidence in verdicts.blocked.items():
+    def _log_block_changes(self) -> None:
+        changes = self._record.pop_block_changes()
+        for fingerprint, evidence in changes.blocked.items():
             self._totals.add(counters.CounterName.CRASHES, "condemned")
             logs.log(
                 "request_condemned",
@@ -189,6 +201,6 @@
                 share=round(evidence.share, 2),
                 crashes=evidence.crash_ids,
             )
-        for fingerprint in verdicts.released:
+        for fingerprint in changes.released:
             self._totals.add(counters.CounterName.CRASHES, "released")
             logs.log("request_released", fingerprint=fingerprint)
--- a/src/marlramp/direct/fleet/engine_digests.py
+++ b/src/marlramp/direct/fleet/engine_digests.py
@@ -1,8 +1,9 @@
-"""Tells entries of other cells how loaded the engines of this cell are.
+"""Sends the loads of a cell's engines to entries of other cells.
 
-Agents report to the entries of their own cell. One entry of the cell puts the
-reports together and sends them to one entry of each other cell, which tells
-its own: requests that find no place in their cell's engines go to others.
+Agents report to the entries of their own cell. One entry of the cell combines
+the reports to a digest and sends it to one entry of each other cell, which
+forwards it to its own cell. Requests that find no free slot in the engines of
+their own cell can then be sent to engines of other cells.
 """
 
 from __future__ import annotations
@@ -21,70 +22,73 @@
 from marlramp.protocol import fleet_messages
 
 DIGEST_MS = 500.0
-"""Between two digests while there are few cells: a third of the time that a
-report counts."""
+"""Time between two digests while there are few cells: a third of the time for
+which a report counts."""
 
 CELL_SHARE_MS = 25.0
-"""The same for each cell that is told, so that an entry of a fleet with 40
-cells sends 40 messages a second at most."""
+"""Least time between two digests per cell of the fleet, so that an entry of a
+fleet with 40 cells sends at most 40 messages per second."""
 
 REPORTS_MAX = 32
-"""Engines in one digest, those with the least load: 2 kB."""
+"""Most engines in one digest, which then has 2 kB; the least loaded ones."""
 
-Take: TypeAlias = Callable[[replica_view.LoadReport, float], None]
+OnReport: TypeAlias = Callable[[replica_view.LoadReport, float], None]
 
 
-class _Heard(msgspec.Struct, frozen=True):
+class _ReceivedReport(msgspec.Struct, frozen=True):
     report: replica_view.LoadReport
-    heard_ms: float
+    received_ms: float
 
 
 class EngineDigests:
-    """This entry's part in telling other cells of engines."""
+    """Sends digests of this cell's engines; receives those of other cells."""
 
     def __init__(
         self,
         placed: placement.Placement,
         sync: member_sync.MemberSync,
-        take: Take,
+        on_report: OnReport,
         time: clock.Clock,
     ) -> None:
-        """Has heard no report.
+        """Starts without reports.
 
         Args:
           placed: the cells.
           sync: the members.
-          take: takes each report of another cell and when it was true.
+          on_report: called with each report of another cell and the time, in
+            milliseconds, at which it was made.
           time: the clock.
         """
         self._placed = placed
         self._sync = sync
-        self._take = take
+        self._on_report = on_report
         self._clock = time
-        self._heard: dict[str, _Heard] = {}
+        self._received: dict[str, _ReceivedReport] = {}
         self._sent_ms = float("-inf")
-        self._turn = 0
+        self._cycle = 0
 
     def on_report(
         self, agent: str, report: replica_view.LoadReport | None
     ) -> None:
-        """Takes an agent's own report, None if its engine is away."""
+        """Records an agent's own report, None if its engine is away."""
         if report is None:
-            self._heard.pop(agent, None)
+            self._received.pop(agent, None)
         else:
-            self._heard[agent] = _Heard(report, self._clock.now_ms())
+            self._received[agent] = _ReceivedReport(
+                report, self._clock.now_ms()
+            )
 
     def on_digest(self, digest: fleet_messages.EngineDigest) -> None:
-        """Takes the reports of another cell, and passes them on if asked."""
+        """Handles the reports of another cell and forwards them if required."""
         now_ms = self._clock.now_ms()
         for aged in digest.reports:
-            self._take(aged.report, now_ms - aged.age_ms)
+            self._on_report(aged.report, now_ms - aged.age_ms)
         if digest.pass_on:
-            onward = msgspec.structs.replace(digest, pass_on=False)
-            self._sync.send_all(self._placed.mates(), onward)
+            forwarded = msgspec.structs.replace(digest, pass_on=False)
+            self._sync.send_all(self._placed.cell_peers(), forwarded)
 
     def tick(self) -> None:
-        """Sends the digest of the own cell if that is this entry's part."""
+        """Sends the own cell's digest when due, if this is its first entry."""
         now_ms = self._clock.now_ms()
         known = self._placed.cells
         pause_ms = max(DIGEST_MS, CELL_SHARE_MS * len(known.all))
@@ -95,7 +99,7 @@
         if cell is None or cell.entries[0] != own:
             return
         self._sent_ms = now_ms
-        self._turn += 1
+        self._cycle += 1
         reports = self._reports(cell, now_ms)
         if not reports:
             return
@@ -105,23 +109,28 @@
     def _reports(
         self, cell: cells.Cell, now_ms: clock.Millis
     ) -> list[fleet_messages.AgedReport]:
-        """Returns the fresh reports of the cell's engines, least load first."""
+        """Returns fresh reports of the cell's engines, least loaded first."""
         fresh = [
-            fleet_messages.AgedReport(heard.report, now_ms - heard.heard_ms)
-            for heard in map(self._heard.get, cell.agents)
-            if heard is not None
-            and now_ms - heard.heard_ms < replica_view.REPORT_FRESH_MS
+            fleet_messages.AgedReport(
+                received.report, now_ms - received.received_ms
+            )
+            for received in map(self._received.get, cell.agents)
+            if received is not None
+            and now_ms - received.received_ms < replica_view.REPORT_FRESH_MS
         ]
         fresh.sort(key=lambda aged: aged.report.running + aged.report.waiting)
         return fresh[:REPORTS_MAX]
 
     def _receivers(self, known: cells.Cells, own: cells.Cell) -> list[str]:
-        """Returns an entry of each other cell, two of them by turns."""
+        """Returns one entry of each other cell.
+
+        Two entries of each cell receive the digests alternately.
+        """
         receivers = []
         for cell in known.all:
             if cell.name == own.name:
                 continue
             key = f"digest\0{own.name}"
             pair = rendezvous.subset(key, cell.entries, 2)
-            receivers.append(pair[self._turn % len(pair)])
+            receivers.append(pair[self._cycle % len(pair)])
         return receivers
--- a/src/marlramp/direct/fleet/entry_limits.py
+++ b/src/marlramp/direct/fleet/entry_limits.py
@@ -1,4 +1,8 @@
-"""An entry's dealings with the limits that replicas name."""
+"""Combines limit synchronisation and send reservations of an entry.
+
+Replicas announce rate limits in their answers. All entries together keep to
+them.
+"""
 
 from __future__ import annotations
 
@@ -13,12 +17,12 @@
 from marlramp.direct.calls import wire
 from marlramp.direct.fleet import limit_sync
 from marlramp.direct.fleet import member_sync
-from marlramp.direct.fleet import send_meters
+from marlramp.direct.fleet import send_reservations
 from marlramp.protocol import fleet_messages
 
 
 class EntryLimits:
-    """What is known of limits, and the reservations under them."""
+    """Holds the known limits of replicas and reserves send times under them."""
 
     def __init__(
         self,
@@ -29,7 +33,7 @@
         time: clock.Clock,
         rng: random.Random | None = None,
     ) -> None:
-        """Knows no limit.
+        """Starts without limits.
 
         Args:
           sync: the members.
@@ -37,26 +41,26 @@
           regions: region of each data centre.
           totals: counters.
           time: the clock.
-          rng: draws whom to tell.
+          rng: picks the receivers of limits at random.
         """
         self._sync = limit_sync.LimitSync(
             sync, table, totals, time, rng or random.Random()
         )
-        self._meters = send_meters.SendMeters(
+        self._reservations = send_reservations.SendReservations(
             self._sync, table, sync, regions, totals, time
         )
 
     @property
     def known(self) -> replica_limits.ReplicaLimits:
-        """The limits known here."""
+        """The limits that this entry knows."""
         return self._sync.limits
 
     @property
     def digest(self) -> int:
-        """Digest of the replicas known to name a limit."""
+        """Digest of the known limits."""
         return self._sync.digest
 
-    # What requests ask for.
+    # Requests of this entry.
 
     def note_answer(
         self,
@@ -64,48 +68,63 @@
         answer: wire.ReplicaAnswer,
         sent_ms: clock.Millis,
     ) -> None:
-        """Takes what an answer says of its replica's limit."""
+        """Records the limit, or its absence, that a replica's answer states.
+
+        Args:
+          view: the replica as it was when the request was sent.
+          answer: the answer.
+          sent_ms: when the request was sent.
+        """
         self._sync.note_answer(view, answer, sent_ms)
 
     async def reserve(
         self, view: replica_view.ReplicaView, wait_max_ms: float
     ) -> float | None:
-        """Returns in how many milliseconds a request may be sent."""
-        return await self._meters.reserve(view, wait_max_ms)
+        """Reserves a send time for a request to a replica.
+
+        Args:
+          view: the replica.
+          wait_max_ms: how long the request can wait, in milliseconds.
+
+        Returns:
+          In how many milliseconds the request may be sent, or None if it got
+          no reservation.
+        """
+        return await self._reservations.reserve(view, wait_max_ms)
 
     def limiters_of(self, view: replica_view.ReplicaView) -> list[str]:
-        """Returns the VMs of the entries that reserve for a replica."""
-        return self._meters.limiters_of(view)
+        """Returns the VMs of a replica's limiters, the primary first."""
+        return self._reservations.limiters_of(view)
 
-    # What other entries say.
+    # Messages of other entries.
 
     def on_digest(self, name: str, digest: int) -> None:
-        """Takes the digest of the limits that another entry knows."""
+        """Handles the digest of the limits that another entry knows."""
         self._sync.on_digest(name, digest)
 
     def on_message(
         self, name: str, message: fleet_messages.AboutLimits
     ) -> None:
-        """Takes what another entry says of limits."""
+        """Handles another entry's message about limits or reservations."""
         match message:
             case fleet_messages.LimitNews():
-                self._sync.on_news(name, message.limits)
+                self._sync.on_updates(name, message.limits)
             case fleet_messages.LimitRequest():
                 self._sync.on_request(name, message)
             case fleet_messages.SendRequest():
-                self._meters.on_request(name, message)
+                self._reservations.on_request(name, message)
             case fleet_messages.SendReply():
-                self._meters.on_reply(message)
+                self._reservations.on_reply(message)
             case fleet_messages.SendReserved():
-                self._meters.on_reserved(name, message)
+                self._reservations.on_reserved(name, message)
 
-    # Regular work.
+    # Periodic work.
 
     def forget(self, replica_ids: list[str]) -> None:
-        """Drops replicas that are gone or started again."""
+        """Removes the limits of replicas that are gone or have restarted."""
         self._sync.forget(replica_ids)
 
     def tick(self) -> None:
-        """Passes on what is new, and drops what has ended."""
+        """Forwards new limits and removes the state of ended limits."""
         self._sync.tick()
-        self._meters.tick()
+        self._reservations.tick()
--- a/src/marlramp/direct/fleet/limit_sync.py
+++ b/src/marlramp/direct/fleet/limit_sync.py
@@ -1,7 +1,8 @@
-"""Keeps what all entries know of the limits that replicas name alike.
+"""Synchronises the rate limits that replicas announce among all entries.
 
-An entry that is told of a limit tells the others at once, and they pass it on.
-What one of them misses shows in the digests that entries exchange.
+An entry that receives a limit in a replica's answer sends it to other entries
+at once, and they forward it by gossip. Entries exchange digests of the limits
+that they know; an entry whose digest differs requests what it missed.
 """
 
 from __future__ import annotations
@@ -25,17 +26,18 @@
 from marlramp.protocol import fleet_messages
 
 COMPARE_MS = 500.0
-"""Between two requests for limits that this entry may not know."""
+"""Least time between two requests for limits that this entry may lack."""
 
 FIRST_TARGETS = 16
-"""Entries told at once of a limit that an own answer names."""
+"""Entries that receive a limit at once from the entry that saw it in an
+answer."""
 
 
 class LimitSync:
-    """This entry's part in sharing the limits of replicas.
+    """Shares the limits of replicas with other entries.
 
     Attributes:
-      limits: the limits known here.
+      limits: the limits that this entry knows.
     """
 
     def __init__(
@@ -46,14 +48,14 @@
         time: clock.Clock,
         rng: random.Random,
     ) -> None:
-        """Knows no limit.
+        """Starts without limits.
 
         Args:
           sync: the members.
           table: the replicas, whose views get the limits.
           totals: counters.
           time: the clock.
-          rng: draws whom to tell.
+          rng: picks the receivers of limits at random.
         """
         self.limits = replica_limits.ReplicaLimits()
         self._sync = sync
@@ -61,11 +63,11 @@
         self._totals = totals
         self._clock = time
         self._rng = rng
-        self._rumours: gossip.GossipQueue[str] = gossip.GossipQueue()
+        self._gossip: gossip.GossipQueue[str] = gossip.GossipQueue()
         self._compared_ms = float("-inf")
         self._unreadable = seen_values.SeenValues()
 
-    # What own answers say.
+    # Answers to requests of this entry.
 
     def note_answer(
         self,
@@ -73,7 +75,7 @@
         answer: wire.ReplicaAnswer,
         sent_ms: clock.Millis,
     ) -> None:
-        """Takes what an answer says of its replica's limit.
+        """Records the limit, or its absence, that a replica's answer states.
 
         Args:
           view: the replica as it was when the request was sent.
@@ -86,7 +88,7 @@
         if answer.status == errors.MISDIRECTED:
             return
         if answer.limit_unreadable:
-            self._note_unreadable(replica_id, answer.limit_unreadable)
+            self._record_unreadable(replica_id, answer.limit_unreadable)
         if answer.limit_per_s is not None:
             change = self.limits.record_limit(
                 replica_id,
@@ -100,30 +102,30 @@
             )
         else:
             return
-        self._note_change(replica_id, change, "answer")
+        self._record_change(replica_id, change, "answer")
         if change is not replica_limits.Change.NONE:
-            self._tell_first(replica_id)
+            self._send_first(replica_id)
 
-    def _note_unreadable(self, replica_id: str, value: str) -> None:
+    def _record_unreadable(self, replica_id: str, value: str) -> None:
         self._totals.add(counters.CounterName.REPLICA_LIMITS, "unreadable")
         if self._unreadable.is_new(replica_id, value):
             logs.log(
                 "replica_limit_unreadable", replica=replica_id, value=value
             )
 
-    # What other entries say.
+    # Messages of other entries.
 
-    def on_news(
+    def on_updates(
         self, name: str, limits: Iterable[replica_limits.LimitUpdate]
     ) -> None:
-        """Takes limits that another entry knows."""
+        """Merges limits that another entry sends."""
         now_ms = self._clock.now_ms()
-        for news in limits:
-            change = self.limits.merge(news, now_ms)
-            self._note_change(news.replica_id, change, name)
+        for update in limits:
+            change = self.limits.merge(update, now_ms)
+            self._record_change(update.replica_id, change, name)
 
     def on_digest(self, name: str, digest: int) -> None:
-        """Asks an entry that knows other limits for them."""
+        """Requests limits from an entry whose digest differs."""
         now_ms = self._clock.now_ms()
         if digest == self.digest or now_ms - self._compared_ms < COMPARE_MS:
             return
@@ -134,7 +136,7 @@
     def on_request(
         self, name: str, request: fleet_messages.LimitRequest
     ) -> None:
-        """Tells an entry of limits that it may not know."""
+        """Sends an entry the limits that it may lack."""
         replica_ids = self.limits.differing(request.digests)
         limits = self.limits.updates_of(replica_ids, self._clock.now_ms())
         if limits:
@@ -142,42 +144,47 @@
 
     @property
     def digest(self) -> int:
-        """Digest of the replicas known to name a limit."""
+        """Digest of the known limits."""
         return self.limits.digest()
 
-    # Regular work.
+    # Periodic work.
 
     def forget(self, replica_ids: list[str]) -> None:
-        """Drops replicas that are gone or started again."""
+        """Removes the limits of replicas that are gone or have restarted."""
         self.limits.forget(replica_ids)
 
     def tick(self) -> None:
-        """Passes on what is new, and gives replicas that came their limits."""
+        """Forwards new limits and writes known limits to the replicas' views.
+
+        Replicas that have appeared in the table get their limits by this.
+        """
         now_ms = self._clock.now_ms()
         self.limits.tick(now_ms)
         for replica_id in self.limits.in_force():
-            self._show(replica_id)
-        told = self.limits.updates_of(self._rumours.next_batch(now_ms), now_ms)
-        if told:
-            self._sync.send_some(fleet_messages.LimitNews(limits=told))
+            self._update_view(replica_id)
+        updates = self.limits.updates_of(
+            self._gossip.next_batch(now_ms), now_ms
+        )
+        if updates:
+            self._sync.send_some(fleet_messages.LimitNews(limits=updates))
 
-    def _tell_first(self, replica_id: str) -> None:
+    def _send_first(self, replica_id: str) -> None:
         alive = self._sync.alive(members.MemberKind.ENTRY)
         count = min(FIRST_TARGETS, len(alive))
         targets = self._rng.sample([entry.vm_id for entry in alive], count)
         limits = self.limits.updates_of([replica_id], self._clock.now_ms())
         self._sync.send_all(targets, fleet_messages.LimitNews(limits=limits))
 
-    def _note_change(
+    def _record_change(
         self, replica_id: str, change: replica_limits.Change, source: str
     ) -> None:
-        """Shows a limit to those who choose; logs and passes on a change."""
-        self._show(replica_id)
+        """Updates the view; logs a change and queues it for gossip."""
+        self._update_view(replica_id)
         known = self.limits.get(replica_id)
         if change is replica_limits.Change.NONE or known is None:
             return
         now_ms = self._clock.now_ms()
-        self._rumours.add(replica_id, replica_id, now_ms)
+        self._gossip.add(replica_id, replica_id, now_ms)
         self._totals.add(counters.CounterName.REPLICA_LIMITS, change.value)
         logs.log(
             f"replica_limit_{change.value}",
@@ -187,8 +194,8 @@
             source=source,
         )
 
-    def _show(self, replica_id: str) -> None:
-        """Writes a limit into the view of its replica."""
+    def _update_view(self, replica_id: str) -> None:
+        """Writes a replica's limit to its view, which replica choice reads."""
         view = self._table.get(replica_id)
         if view is None:
             return
--- a/src/marlramp/direct/fleet/load_exchange.py
+++ b/src/marlramp/direct/fleet/load_exchange.py
@@ -1,4 +1,4 @@
-"""Tells the entries of a cell what they have under way at the replicas."""
+"""Reports the load of this entry at the replicas to the entries of its cell."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 from marlramp.protocol import fleet_messages
 from marlramp.shell import safely
 
-TELL_MS = 20.0
-"""Least time between two messages on changes: a fifth of the time that an
-engine takes to the first event, so that a choice rests on what others chose
-just before."""
+REPORT_INTERVAL_MS = 20.0
+"""Least time between two reports of changes: a fifth of the time that an engine
+takes to its first event. A choice of a replica then takes into account what
+others chose just before."""
 
 REFRESH_MS = 1_000.0
-"""Between two times that all is told, in case a change was lost or a peer has
-started anew, and that the peers are looked for."""
+"""Time between two complete reports, in case a change was lost or a peer has
+restarted. The peers are determined at the same times."""
 
 
 class LoadExchange:
-    """This entry's part in telling loads."""
+    """Sends this entry's loads to its peers and receives theirs."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         totals: counters.Counters,
         time: clock.Clock,
     ) -> None:
-        """Tells nothing before `run`.
+        """Creates an exchange that sends nothing before `run`.
 
         Args:
           placed: the cells.
@@ -49,22 +49,22 @@
         self._totals = totals
         self._clock = time
         self._changed = asyncio.Event()
-        self._news = peer_loads.LoadUpdates(table, self._changed.set)
+        self._updates = peer_loads.LoadUpdates(table, self._changed.set)
         self._loads = peer_loads.PeerLoads(table)
         self._peers: set[str] = set()
         self._refreshed_ms = float("-inf")
 
     async def run(self) -> None:
-        """Tells changes for ever."""
+        """Reports loads until cancelled."""
         while True:
             await self._wait()
-            safely.run_safely(self._tell, "load_exchange", self._totals)
-            await asyncio.sleep(TELL_MS / clock.MILLIS_PER_SECOND)
+            safely.run_safely(self._report, "load_exchange", self._totals)
+            await asyncio.sleep(REPORT_INTERVAL_MS / clock.MILLIS_PER_SECOND)
 
     async def _wait(self) -> None:
-        """Waits for a change, or until something is due without one."""
+        """Waits for a change, or until a report is due without one."""
         due_ms = REFRESH_MS - (self._clock.now_ms() - self._refreshed_ms)
-        if self._news.has_pending:
+        if self._updates.has_pending:
             due_ms = peer_loads.decreases_pause_ms(len(self._peers))
         if due_ms <= 0:
             return
@@ -73,26 +73,26 @@
                 await self._changed.wait()
 
     def on_message(self, name: str, message: fleet_messages.OwnLoads) -> None:
-        """Takes what another entry has under way."""
+        """Applies the loads that another entry reports."""
         if message.whole:
             self._loads.replace(name, message.loads)
         else:
             self._loads.update(name, message.loads)
 
     def forget(self, replica_ids: list[str]) -> None:
-        """Drops replicas that are gone."""
-        self._news.forget(replica_ids)
+        """Removes the loads at replicas that are gone."""
+        self._updates.forget(replica_ids)
         self._loads.forget(replica_ids)
 
-    def _tell(self) -> None:
+    def _report(self) -> None:
         self._changed.clear()
         now_ms = self._clock.now_ms()
         if now_ms - self._refreshed_ms >= REFRESH_MS:
             self._refreshed_ms = now_ms
             self._find_peers()
-            self._send(self._news.all(now_ms), whole=True)
+            self._send(self._updates.all(now_ms), whole=True)
             return
-        loads = self._news.changed(len(self._peers), now_ms)
+        loads = self._updates.changed(len(self._peers), now_ms)
         if loads:
             self._send(loads, whole=False)
 
@@ -101,7 +101,7 @@
         self._sync.send_all(self._peers, message)
 
     def _find_peers(self) -> None:
-        """Takes the entries of the own cell."""
-        self._peers = set(self._placed.mates())
+        """Updates the peers: the other entries of this entry's cell."""
+        self._peers = set(self._placed.cell_peers())
         for name in set(self._loads.peers) - self._peers:
             self._loads.drop(name)
--- a/src/marlramp/direct/fleet/named_weights.py
+++ b/src/marlramp/direct/fleet/named_weights.py
@@ -1,4 +1,8 @@
-"""What an agent knows of the weights to serve, from guides or the store."""
+"""Keeps what an agent knows of the weights to serve.
+
+An agent learns the weights from its coordinators, or from the store while it
+has no coordinator.
+"""
 
 from __future__ import annotations
 
@@ -19,45 +23,55 @@
 from marlramp.platform import clients
 from marlramp.protocol import fleet_messages
 
-UNGUIDED_READ_MS = 3_000.0
-"""An agent that no entry guides reads the store itself this often."""
+UNCOORDINATED_READ_MS = 3_000.0
+"""Time between two reads of the store by an agent that no entry coordinates."""
 
 FIRST_READ_RETRY_MIN_MS = 150.0
 FIRST_READ_RETRY_MAX_MS = 450.0
-"""The same until it first knew what to load, drawn between the two and doubled
-up to the time above. After a loss of all power engines serve again some 0.4 s
-sooner than if their agents waited until entries have started and found them.
-Only the weights named are read: a configuration of 1,400 routes has 400 kB,
-and if all agents read it, no entry is answered by the store for seconds."""
+"""Range of the first time between two reads until an agent first knows its
+weights. The time is random and doubles up to `UNCOORDINATED_READ_MS`. After a
+complete power failure, engines serve again some 0.4 s sooner than if their
+agents waited until entries have started and found them. Only the announced
+weights are read: a configuration of 1,400 routes has 400 kB, and if all agents
+read it, the store answers no entry for seconds."""
 
 _MS = clock.MILLIS_PER_SECOND
 
 
-class StaleSource(Protocol):
-    """A store that can be read cheaply."""
+class ReadableStore(Protocol):
+    """A store with cheap reads: stale ones, or of announced weights."""
 
     async def read_all(self, *, stale: bool = False) -> catalog.Snapshot:
-        """Returns all that the store holds for the system."""
+        """Returns all that the store holds for the system.
+
+        Args:
+          stale: whether a cheaper, possibly outdated answer is acceptable.
+        """
         ...
 
     async def read_targets(self) -> catalog.Snapshot:
-        """Returns the weights named alone."""
+        """Returns only the announced weights."""
         ...
 
 
 class NamedWeights:
-    """The model of the engine on this VM and the versions named of it.
+    """The model of the engine on this VM and its announced versions.
 
     Attributes:
       model: the model, "" if it is not known.
-      engine: how the engine works, None if it is not known.
-      catalog: what is known of the store.
+      engine: specification of the engine, None if it is not known.
+      catalog: the known content of the store.
     """
 
     def __init__(
         self, on_origin: Callable[[str], None], time: clock.Clock
     ) -> None:
-        """Knows nothing yet; `on_origin` takes each new origin's address."""
+        """Starts without any knowledge.
+
+        Args:
+          on_origin: called with the address of each new origin.
+          time: the clock.
+        """
         self._on_origin = on_origin
         self._clock = time
         self.catalog = catalog.Catalog()
@@ -76,33 +90,44 @@
         return version_digests.Wanted(self.model, version)
 
     def target(self, model: str) -> catalog.KnownTarget | None:
-        """Returns what was named of a model, None if nothing was."""
+        """Returns the announced target of a model, None if there is none."""
         return self.catalog.targets.get(model)
 
     def take_guide(self, guide: fleet_messages.Guide) -> bool:
-        """Takes what an entry tells; returns whether a version is new."""
-        hearing = event_time.unsolicited(
+        """Applies a coordinator's message.
+
+        Returns:
+          Whether it announces a new version.
+        """
+        receipt = event_time.unsolicited(
             version_ages.WAY_MAX_MS, self._clock.now_ms()
         )
-        is_new = self._apply(list(guide.targets), "guide", hearing)
-        self._take_origin(guide.origin)
-        self._take_engine(guide.engine)
+        is_new = self._apply(list(guide.targets), "guide", receipt)
+        self._set_origin(guide.origin)
+        self._set_engine(guide.engine)
         return is_new
 
     async def learn_unguided(
-        self, store: StaleSource, is_guided: Callable[[], bool]
+        self, store: ReadableStore, is_coordinated: Callable[[], bool]
     ) -> None:
-        """Reads the store at the start and while no entry guides, for ever."""
+        """Reads the store at the start and while there is no coordinator.
+
+        Runs until cancelled.
+
+        Args:
+          store: the store.
+          is_coordinated: returns whether an entry coordinates the agent.
+        """
         wait_ms = random.uniform(
             FIRST_READ_RETRY_MIN_MS, FIRST_READ_RETRY_MAX_MS
         )
         while not self.model:
             await self._read(store.read_targets())
             await asyncio.sleep(wait_ms / _MS)
-            wait_ms = min(2.0 * wait_ms, UNGUIDED_READ_MS)
+            wait_ms = min(2.0 * wait_ms, UNCOORDINATED_READ_MS)
         while True:
-            await asyncio.sleep(UNGUIDED_READ_MS / _MS)
-            if not is_guided():
+            await asyncio.sleep(UNCOORDINATED_READ_MS / _MS)
+            if not is_coordinated():
                 await self._read(store.read_all(stale=True))
 
     async def _read(self, reading: Awaitable[catalog.Snapshot]) -> None:
@@ -112,54 +137,56 @@
             logs.log("store_unavailable", detail=error)
             return
         self._apply(snapshot.changes, "store")
-        self._learn_from_config()
-        self._learn_from_targets()
+        self._apply_config()
+        self._set_model_from_targets()
 
-    def _learn_from_targets(self) -> None:
-        """Takes the model that versions were named of, if it is the only one.
+    def _set_model_from_targets(self) -> None:
+        """Sets the model if versions of only one model are announced.
 
-        Of several models the one of this VM's engine is known to guides alone.
+        If there are several, only coordinators know which one this VM's engine
+        runs.
         """
         if not self.model and len(self.catalog.targets) == 1:
             (self.model,) = self.catalog.targets
 
-    def _learn_from_config(self) -> None:
+    def _apply_config(self) -> None:
         config = self.catalog.config
         if config is None:
             return
         for service in config.services:
-            self._take_origin(service.origin)
-            self._take_engine(service.engine)
+            self._set_origin(service.origin)
+            self._set_engine(service.engine)
 
     def _apply(
         self,
         changes: list[catalog.Change],
         source: str,
-        hearing: event_time.Receipt | None = None,
+        receipt: event_time.Receipt | None = None,
     ) -> bool:
-        """Takes named weights, and what the store holds besides.
+        """Applies announced weights and other changes of the store.
 
         Args:
-          changes: what was told or read.
-          source: who told it, for the log.
-          hearing: how it was heard of, None if it was read here.
+          changes: the changes that were received or read.
+          source: where they come from, for the log.
+          receipt: how they were received, None if they were read from the
+            store.
 
         Returns:
           Whether a version is new.
         """
         now_ms = self._clock.now_ms()
-        new = self.catalog.apply(changes, now_ms, hearing)
+        new = self.catalog.apply(changes, now_ms, receipt)
         named = [c for c in new if isinstance(c, catalog.TargetChange)]
         for change in named:
             catalog_log.log_change(change, source, self.catalog, now_ms)
         return bool(named)
 
-    def _take_engine(self, engine: fleet.EngineSpec | None) -> None:
+    def _set_engine(self, engine: fleet.EngineSpec | None) -> None:
         if engine is not None:
             self.engine = engine
             self.model = engine.model
 
-    def _take_origin(self, origin: str) -> None:
+    def _set_origin(self, origin: str) -> None:
         if origin and origin != self._origin:
             self._origin = origin
             self._on_origin(origin)
--- a/src/marlramp/direct/fleet/placement.py
+++ b/src/marlramp/direct/fleet/placement.py
@@ -1,4 +1,4 @@
-"""The cells that this entry computes from the members it knows."""
+"""Keeps the cells that this entry computes from the members that it knows."""
 
 from __future__ import annotations
 
@@ -11,12 +11,17 @@
 from marlramp.direct.fleet import member_sync
 
 SETTLE_MS = 500.0
-"""Least time between two divisions: members that come or go together change
-the cells once."""
+"""Least time between two divisions into cells, so that members that join or
+leave together change the cells only once."""
 
 
 class Placement:
-    """Keeps the cells in step with the members."""
+    """Recomputes the cells when the members change.
+
+    Attributes:
+      cells: the current cells.
+      relay_locations: location of each entry that relays pieces, by VM.
+    """
 
     def __init__(
         self,
@@ -24,7 +29,7 @@
         sync: member_sync.MemberSync,
         time: clock.Clock,
     ) -> None:
-        """Divides nothing before the first `refresh`.
+        """Starts without cells; the first `refresh` computes them.
 
         Args:
           regions: region of each data centre.
@@ -37,10 +42,14 @@
         self._seen_changes = -1
         self._divided_ms = float("-inf")
         self.cells = cells.Cells([], [], regions)
-        self.relay_places: dict[str, relay_assignment.Location] = {}
+        self.relay_locations: dict[str, relay_assignment.Location] = {}
 
     def refresh(self) -> bool:
-        """Divides anew if members changed; returns whether it did."""
+        """Recomputes the cells if members changed.
+
+        Returns:
+          Whether the cells were recomputed.
+        """
         now_ms = self._clock.now_ms()
         roster = self._sync.roster
         if roster.changes == self._seen_changes:
@@ -63,7 +72,7 @@
             members.MemberState.STARTING, members.MemberState.READY
         )
         self.cells = cells.Cells(entries, agents, self._regions)
-        self.relay_places = {
+        self.relay_locations = {
             vm_id: relay_assignment.Location(cell.region, cell.name)
             for cell in self.cells.all
             for vm_id in cell.entries
@@ -71,15 +80,15 @@
         return True
 
     def own_agents(self) -> list[str]:
-        """Returns the VMs of the agents of the own cell."""
+        """Returns the VMs of the agents of this entry's cell."""
         cell = self.cells.of_entry(self._sync.roster.own.vm_id)
         return [] if cell is None else list(cell.agents)
 
     def agents_with_engine(self) -> list[members.Member]:
         """Returns the agents whose engine answers.
 
-        An agent without one brings no weights, so that the others must not
-        leave pieces to it.
+        An agent whose engine does not answer fetches no weights, so other
+        agents must not rely on it for pieces.
         """
         return self._agents(members.MemberState.READY)
 
@@ -91,8 +100,8 @@
             and record.update.state in states
         ]
 
-    def mates(self) -> list[str]:
-        """Returns the other entries of the own cell."""
+    def cell_peers(self) -> list[str]:
+        """Returns the VMs of the other entries of this entry's cell."""
         own = self._sync.roster.own.vm_id
         cell = self.cells.of_entry(own)
         if cell is None:
@@ -100,7 +109,7 @@
         return [vm_id for vm_id in cell.entries if vm_id != own]
 
     def cell_hosts(self) -> list[str]:
-        """Returns the addresses of the VMs whose engines are of the cell."""
+        """Returns the hosts of the VMs whose engines belong to this cell."""
         cell = self.cells.of_entry(self._sync.roster.own.vm_id)
         if cell is None:
             return []
--- a/src/marlramp/direct/fleet/relay_surroundings.py
+++ b/src/marlramp/direct/fleet/relay_surroundings.py
@@ -1,4 +1,4 @@
-"""What an entry's relay of pieces learns from the rest of the entry."""
+"""Provides an entry's piece relay with the state of the rest of the entry."""
 
 from __future__ import annotations
 
@@ -16,11 +16,14 @@
 from marlramp.direct.weights import version_digests
 
 PIECE_DEFAULT_MS = 40.0
-"""Time in which a piece leaves an origin whose rate is not known."""
+"""Time in which an origin sends a piece if its rate is not known."""
 
 
 class RelaySurroundings:
-    """The versions named, the entries that relay, and the way to others."""
+    """Announced versions, entries that relay pieces, and sending to others.
+
+    Implements `piece_relay.Surroundings`.
+    """
 
     def __init__(
         self,
@@ -29,7 +32,7 @@
         sync: member_sync.MemberSync,
         time: clock.Clock,
     ) -> None:
-        """Reads what the others hold at each call.
+        """Stores the sources, which each call reads anew.
 
         Args:
           known: the catalog.
@@ -43,18 +46,21 @@
         self._clock = time
 
     def origin(self) -> str:
-        """Returns "host:port" of the origin, "" if it is not known."""
+        """Returns the origin's address "host:port", "" if it is not known."""
         service = self._origin_service()
         return "" if service is None else service.origin
 
     def places(self) -> Mapping[str, relay_assignment.Location]:
-        """Returns the entries that relay pieces, this one among them."""
+        """Returns the locations of the entries that relay pieces, by VM.
+
+        They include this entry, unless it is leaving: then it needs none.
+        """
         if self._sync.roster.own.state is members.MemberState.LEAVING:
             return {}
-        return self._placed.relay_places
+        return self._placed.relay_locations
 
     def wanted(self) -> list[version_digests.Wanted]:
-        """Returns the newest version of each model that engines run."""
+        """Returns the newest announced version of each model of the engines."""
         config = self._catalog.config
         if config is None:
             return []
@@ -69,7 +75,7 @@
         return version_digests.Wanted(model, version)
 
     def piece_ms(self) -> float:
-        """Returns the time in which a piece leaves the origin."""
+        """Returns the milliseconds in which the origin sends a piece."""
         config = self._catalog.config
         service = self._origin_service()
         if config is None or service is None or not service.origin_bytes_per_s:
@@ -81,12 +87,16 @@
         return max(sizes) / rate * clock.MILLIS_PER_SECOND
 
     def origin_connections(self) -> int:
-        """Returns the connections that the origin takes in all."""
+        """Returns the total number of connections that the origin accepts."""
         service = self._origin_service()
         return 1 if service is None else service.connections_max
 
     def age_ms(self, wanted: version_digests.Wanted) -> float | None:
-        """Returns the least time since a version was named, None if unknown."""
+        """Returns the least age of a version's announcement in milliseconds.
+
+        Returns:
+          None if the age is unknown.
+        """
         target = self._catalog.targets.get(wanted.model)
         if target is None:
             return None
@@ -97,7 +107,11 @@
         return None
 
     def send_piece_message(self, name: str, message: msgspec.Struct) -> bool:
-        """Sends to an entry or agent; opens a link to an entry."""
+        """Sends a message to an entry or agent; opens a link to an entry.
+
+        Returns:
+          Whether the message could be sent.
+        """
         return self._sync.send(name, message)
 
     def _origin_service(self) -> fleet.Service | None:
--- a/src/marlramp/direct/fleet/send_meters.py
+++ b/src/marlramp/direct/fleet/send_reservations.py
@@ -1,7 +1,8 @@
-"""Reserves the times of requests to replicas that name a limit.
+"""Reserves send times for requests to rate-limited replicas.
 
-For each such replica one entry reserves for all, and tells a second one of each
-request, which stands in while the first is silent.
+For each replica that announces a rate limit, one entry (the primary limiter)
+reserves the send times of all entries. It reports each reservation to a second
+entry, the standby limiter, which takes over while the primary is silent.
 """
 
 from __future__ import annotations
@@ -23,28 +24,30 @@
 from marlramp.protocol import fleet_messages
 
 REPLY_MAX_MS = 150.0
-"""How long the answer of an entry that reserves is waited for."""
+"""Timeout of a request to a limiter."""
 
 SILENT_MS = 1_000.0
-"""How long an entry that did not answer is passed over."""
+"""How long a limiter that did not reply is requested after the others."""
 
-NO_METER_PAUSE_MS = 200.0
-"""Pause after no entry that reserves has answered."""
+NO_LIMITER_PAUSE_MS = 200.0
+"""Pause before the next reservation after no limiter has replied."""
 
 PAUSE_MIN_MS = 20.0
-"""Least pause after a request that could not wait was turned away."""
+"""Least pause before the next reservation after one was denied because the
+request could not wait long enough."""
 
-ASKS_PER_S_MAX = 40.0
-"""Questions a second that an entry turns away, from all others together."""
+DENIALS_PER_S_MAX = 40.0
+"""Denied requests per second that a limiter aims at, from all entries together.
+The pauses that it assigns to them grow with the number of entries."""
 
-ASKERS_MS = 1_000.0
-"""How long an entry that was turned away counts among those who ask."""
+DENIED_MS = 1_000.0
+"""How long an entry whose request was denied counts as waiting."""
 
 _MS = clock.MILLIS_PER_SECOND
 
 
-class SendMeters:
-    """This entry's part in reserving, and its questions to the others."""
+class SendReservations:
+    """Requests reservations from limiters and makes them as a limiter."""
 
     def __init__(
         self,
@@ -55,10 +58,10 @@
         totals: counters.Counters,
         time: clock.Clock,
     ) -> None:
-        """Reserves for nothing yet.
+        """Starts without reservations.
 
         Args:
-          known: the limits.
+          known: the known limits of replicas.
           table: the replicas.
           sync: the other members.
           regions: region of each data centre.
@@ -71,30 +74,31 @@
         self._regions = regions
         self._totals = totals
         self._clock = time
-        self._meters: dict[str, send_limiter.SendLimiter] = {}
-        self._duties: dict[str, list[str]] = {}
+        self._limiters: dict[str, send_limiter.SendLimiter] = {}
+        self._assigned: dict[str, list[str]] = {}
         self._seen_changes = -1
         self._alive = 1
         self._entries_known = 1
-        self._askers: dict[str, float] = {}
-        self._silent: dict[str, float] = {}
-        self._numbers = itertools.count(1)
-        self._asked: dict[int, asyncio.Future[fleet_messages.SendReply]] = {}
+        self._denied_ms: dict[str, float] = {}
+        self._silent_ms: dict[str, float] = {}
+        self._request_numbers = itertools.count(1)
+        self._pending: dict[int, asyncio.Future[fleet_messages.SendReply]] = {}
 
-    # For own requests.
+    # Requests of this entry.
 
     async def reserve(
         self, view: replica_view.ReplicaView, wait_max_ms: float
     ) -> float | None:
-        """Returns in how many milliseconds a request may be sent to a replica.
+        """Reserves a send time for a request to a replica.
 
         Args:
           view: the replica.
-          wait_max_ms: how long the request can wait.
+          wait_max_ms: how long the request can wait, in milliseconds.
 
         Returns:
-          None if it can't wait so long; the replica's view tells from when on
-          it is worth asking again.
+          In how many milliseconds the request may be sent, or None if it can't
+          wait that long or no limiter replies; the view's limit then holds the
+          time of the next attempt in `reserve_from_ms`.
         """
         limit = view.limit
         if limit is None:
@@ -109,7 +113,7 @@
             limit.pending -= 1
         now_ms = self._clock.now_ms()
         if reply is None:
-            limit.reserve_from_ms = now_ms + NO_METER_PAUSE_MS
+            limit.reserve_from_ms = now_ms + NO_LIMITER_PAUSE_MS
             self._count("no_meter")
             return None
         limit.next_ms = now_ms + reply.next_ms
@@ -124,40 +128,48 @@
         self, view: replica_view.ReplicaView, wait_max_ms: float
     ) -> fleet_messages.SendReply | None:
         started_ms = self._clock.now_ms()
-        for vm_id in self._asking_order(view):
-            asked_ms = self._clock.now_ms() - started_ms
-            request = self._request(view, max(0.0, wait_max_ms - asked_ms))
+        for vm_id in self._request_order(view):
+            elapsed_ms = self._clock.now_ms() - started_ms
+            request = self._build_request(
+                view, max(0.0, wait_max_ms - elapsed_ms)
+            )
             if request is None:
                 return None
             if vm_id == self._own.vm_id:
                 return self._reply(vm_id, request)
-            reply = await self._ask(vm_id, request)
+            reply = await self._request_reservation(vm_id, request)
             if reply is not None:
-                self._take_limit(vm_id, reply.limit)
+                self._merge_limit(vm_id, reply.limit)
                 return reply
-            self._silent[vm_id] = self._clock.now_ms()
+            self._silent_ms[vm_id] = self._clock.now_ms()
         return None
 
-    def _request(
+    def _build_request(
         self, view: replica_view.ReplicaView, wait_max_ms: float
     ) -> fleet_messages.SendRequest | None:
         now_ms = self._clock.now_ms()
-        told = self._known.limits.updates_of([view.replica.replica_id], now_ms)
-        if not told:
+        updates = self._known.limits.updates_of(
+            [view.replica.replica_id], now_ms
+        )
+        if not updates:
             return None
         return fleet_messages.SendRequest(
-            number=next(self._numbers), limit=told[0], wait_max_ms=wait_max_ms
+            number=next(self._request_numbers),
+            limit=updates[0],
+            wait_max_ms=wait_max_ms,
         )
 
-    def _asking_order(self, view: replica_view.ReplicaView) -> list[str]:
-        """Returns the entries that reserve, those that fell silent last."""
+    def _request_order(self, view: replica_view.ReplicaView) -> list[str]:
+        """Returns the limiters, those that were silent recently last."""
         horizon_ms = self._clock.now_ms() - SILENT_MS
         return sorted(
             self.limiters_of(view),
-            key=lambda name: self._silent.get(name, float("-inf")) > horizon_ms,
+            key=lambda name: (
+                self._silent_ms.get(name, float("-inf")) > horizon_ms
+            ),
         )
 
-    async def _ask(
+    async def _request_reservation(
         self, vm_id: str, request: fleet_messages.SendRequest
     ) -> fleet_messages.SendReply | None:
         if not self._sync.send(vm_id, request):
@@ -165,60 +177,60 @@
         future: asyncio.Future[fleet_messages.SendReply] = (
             asyncio.get_running_loop().create_future()
         )
-        self._asked[request.number] = future
+        self._pending[request.number] = future
         try:
             async with asyncio.timeout(REPLY_MAX_MS / _MS):
                 return await future
         except TimeoutError:
-            # The next entry is asked instead.
+            # The next limiter is requested instead.
             return None
         finally:
-            del self._asked[request.number]
+            del self._pending[request.number]
 
     def on_reply(self, reply: fleet_messages.SendReply) -> None:
-        """Takes the answer to an own question; one that is late is dropped."""
-        future = self._asked.get(reply.number)
+        """Handles the reply to a request; a late reply is dropped."""
+        future = self._pending.get(reply.number)
         if future is not None and not future.done():
             future.set_result(reply)
 
-    # For the requests of all.
+    # Requests of all entries.
 
     def on_request(
         self, name: str, request: fleet_messages.SendRequest
     ) -> None:
-        """Answers an entry that asks when it may send."""
-        self._take_limit(name, request.limit)
+        """Replies to an entry that requests a reservation."""
+        self._merge_limit(name, request.limit)
         self._sync.send(name, self._reply(name, request))
 
     def on_reserved(
         self, name: str, message: fleet_messages.SendReserved
     ) -> None:
-        """Counts a request that another entry has reserved."""
-        self._take_limit(name, message.limit)
+        """Records a reservation that another limiter has made."""
+        self._merge_limit(name, message.limit)
         rate = self._rate(message.limit.replica_id)
         if rate is not None:
-            meter = self._meter(message.limit.replica_id, rate)
-            meter.record_reservation(self._clock.now_ms(), rate)
+            limiter = self._limiter(message.limit.replica_id, rate)
+            limiter.record_reservation(self._clock.now_ms(), rate)
 
     def tick(self) -> None:
-        """Follows the members; drops what belongs to limits that have ended."""
+        """Counts entries and removes the state of limits that have ended."""
         if not self._known.limits.in_force():
-            self._meters.clear()
+            self._limiters.clear()
             return
         kind = members.MemberKind.ENTRY
         self._alive = len(self._sync.alive(kind)) + 1
         self._entries_known = self._sync.roster.count(kind)
-        for replica_id in list(self._meters):
+        for replica_id in list(self._limiters):
             if self._known.limits.per_s(replica_id) is None:
-                del self._meters[replica_id]
+                del self._limiters[replica_id]
 
     def _reply(
         self, name: str, request: fleet_messages.SendRequest
     ) -> fleet_messages.SendReply:
         replica_id = request.limit.replica_id
         now_ms = self._clock.now_ms()
-        told = self._known.limits.updates_of([replica_id], now_ms)
-        limit = told[0] if told else None
+        updates = self._known.limits.updates_of([replica_id], now_ms)
+        limit = updates[0] if updates else None
         rate = self._rate(replica_id)
         if rate is None:
             return fleet_messages.SendReply(
@@ -228,19 +240,19 @@
                 pause_ms=0.0,
                 limit=limit,
             )
-        meter = self._meter(replica_id, rate)
-        wait_ms = meter.reserve(now_ms, rate, request.wait_max_ms)
+        limiter = self._limiter(replica_id, rate)
+        wait_ms = limiter.reserve(now_ms, rate, request.wait_max_ms)
         if wait_ms is not None:
-            self._tell_others(replica_id, limit)
+            self._notify_other_limiters(replica_id, limit)
         return fleet_messages.SendReply(
             number=request.number,
             wait_ms=wait_ms,
-            next_ms=meter.next_in_ms(now_ms, rate),
+            next_ms=limiter.next_in_ms(now_ms, rate),
             pause_ms=0.0 if wait_ms is not None else self._pause_ms(name),
             limit=limit,
         )
 
-    def _tell_others(
+    def _notify_other_limiters(
         self, replica_id: str, limit: replica_limits.LimitUpdate | None
     ) -> None:
         view = self._table.get(replica_id)
@@ -250,31 +262,31 @@
         self._sync.send_all(others, fleet_messages.SendReserved(limit=limit))
 
     def _pause_ms(self, name: str) -> float:
-        """Returns how long an entry that was turned away is not to ask."""
+        """Returns the pause after which a denied entry may request again."""
         now_ms = self._clock.now_ms()
-        self._askers[name] = now_ms
-        for other, asked_ms in list(self._askers.items()):
-            if now_ms - asked_ms >= ASKERS_MS:
-                del self._askers[other]
-        return _MS * len(self._askers) / ASKS_PER_S_MAX
+        self._denied_ms[name] = now_ms
+        for other, elapsed_ms in list(self._denied_ms.items()):
+            if now_ms - elapsed_ms >= DENIED_MS:
+                del self._denied_ms[other]
+        return _MS * len(self._denied_ms) / DENIALS_PER_S_MAX
 
-    # What both need.
+    # Limiters and rates.
 
     @property
     def _own(self) -> members.Member:
         return self._sync.roster.own.member
 
     def limiters_of(self, view: replica_view.ReplicaView) -> list[str]:
-        """Returns the VMs of the entries that reserve, the first one first."""
+        """Returns the VMs of a replica's limiters, the primary first."""
         replica_id = view.replica.replica_id
         if self._sync.roster.changes != self._seen_changes:
             self._seen_changes = self._sync.roster.changes
-            self._duties.clear()
-        if replica_id not in self._duties:
-            self._duties[replica_id] = self._find_meters(view)
-        return self._duties[replica_id]
+            self._assigned.clear()
+        if replica_id not in self._assigned:
+            self._assigned[replica_id] = self._assign_limiters(view)
+        return self._assigned[replica_id]
 
-    def _find_meters(self, view: replica_view.ReplicaView) -> list[str]:
+    def _assign_limiters(self, view: replica_view.ReplicaView) -> list[str]:
         leaving = self._sync.entries_in_state(members.MemberState.LEAVING)
         alive = self._sync.alive(members.MemberKind.ENTRY)
         entries = [entry for entry in alive if entry not in leaving]
@@ -288,7 +300,7 @@
         )
 
     def _rate(self, replica_id: str) -> float | None:
-        """Returns the rate at which this entry reserves, None without limit."""
+        """Returns this entry's reservation rate per s, None if unlimited."""
         per_s = self._known.limits.per_s(replica_id)
         if per_s is None:
             return None
@@ -296,18 +308,20 @@
             per_s, self._alive, self._entries_known
         )
 
-    def _meter(self, replica_id: str, rate: float) -> send_limiter.SendLimiter:
-        meter = self._meters.get(replica_id)
-        if meter is None:
-            meter = send_limiter.SendLimiter(self._clock.now_ms(), rate)
-            self._meters[replica_id] = meter
-        return meter
+    def _limiter(
+        self, replica_id: str, rate: float
+    ) -> send_limiter.SendLimiter:
+        limiter = self._limiters.get(replica_id)
+        if limiter is None:
+            limiter = send_limiter.SendLimiter(self._clock.now_ms(), rate)
+            self._limiters[replica_id] = limiter
+        return limiter
 
-    def _take_limit(
+    def _merge_limit(
         self, name: str, limit: replica_limits.LimitUpdate | None
     ) -> None:
         if limit is not None:
-            self._known.on_news(name, [limit])
+            self._known.on_updates(name, [limit])
 
     def _count(self, reason: str) -> None:
         self._totals.add(counters.CounterName.REPLICA_LIMITS, reason)
--- a/tests/direct/fleet/test_load_exchange.py
+++ b/tests/direct/fleet/test_load_exchange.py
@@ -104,16 +104,16 @@
     view = table.get("i-1")
     assert view is not None
     view.record_sent(700, time.now_ms())
-    exchange._tell()
+    exchange._report()
     loads = [peer_loads.OwnLoad("i-1", 1, 700)]
     whole = fleet_messages.OwnLoads(loads=loads, whole=True)
     assert sync.sent == [({"entry-2"}, whole)]
-    time.advance(load_exchange.TELL_MS)
-    exchange._tell()
+    time.advance(load_exchange.REPORT_INTERVAL_MS)
+    exchange._report()
     assert len(sync.sent) == 1
     view.record_prompt_read(700)
-    time.advance(load_exchange.TELL_MS)
-    exchange._tell()
+    time.advance(load_exchange.REPORT_INTERVAL_MS)
+    exchange._report()
     assert sync.sent[-1][1].loads == [peer_loads.OwnLoad("i-1", 1, 0)]
 
 
@@ -134,5 +134,5 @@
     assert sync.roster.tick(time.now_ms()) == []
     time.advance(roster.SUSPECT_MS)
     placed.refresh()
-    exchange._tell()
+    exchange._report()
     assert (view.others_in_flight, view.others_unread) == (0, 0)
