--- a/src/marlramp/direct/fleet/agent_guide.py
+++ b/src/marlramp/direct/fleet/agent_coordinator.py
@@ -33,7 +33,7 @@
     agents: dict[str, members.Member]
 
 
-class AgentGuide:
+class AgentCoordinator:
     """Sends updates to the agents that this entry coordinates."""
 
     def __init__(
--- a/src/marlramp/direct/fleet/entry_fleet.py
+++ b/src/marlramp/direct/fleet/entry_fleet.py
@@ -19,7 +19,7 @@
 from marlramp.core import replica_table
 from marlramp.core import replica_view
 from marlramp.core import store_completeness
-from marlramp.direct.fleet import agent_guide
+from marlramp.direct.fleet import agent_coordinator
 from marlramp.direct.fleet import catalog_sync
 from marlramp.direct.fleet import crash_sync
 from marlramp.direct.fleet import engine_digests
@@ -127,7 +127,7 @@
         self.limits = entry_limits.EntryLimits(
             self.sync, table, settings.regions, totals, time
         )
-        self._guide = agent_guide.AgentGuide(
+        self._guide = agent_coordinator.AgentCoordinator(
             known, self._placed, self.sync, time
         )
         self._load_exchange = load_exchange.LoadExchange(
--- a/tests/direct/fleet/test_agent_guide.py
+++ b/tests/direct/fleet/test_agent_coordinator.py
@@ -9,7 +9,7 @@
 from marlramp.core import catalog
 from marlramp.core import fleet
 from marlramp.core import members
-from marlramp.direct.fleet import agent_guide
+from marlramp.direct.fleet import agent_coordinator
 from marlramp.direct.fleet import member_sync
 from marlramp.direct.fleet import placement
 from marlramp.protocol import fleet_messages
@@ -76,7 +76,9 @@
         known = catalog.Catalog()
         known.apply([catalog.ConfigChange(1, CONFIG)], time.now_ms())
         self.placed = placement.Placement(REGIONS, self.sync, time)
-        self.guide = agent_guide.AgentGuide(known, self.placed, self.sync, time)
+        self.guide = agent_coordinator.AgentCoordinator(
+            known, self.placed, self.sync, time
+        )
 
     def tick(self) -> dict[str, fleet_messages.Neighbours]:
         """Lets members settle; returns the neighbours told."""
@@ -104,7 +106,7 @@
 def test_agents_are_told_again_now_and_then(guided: Guided) -> None:
     guided.sync.note(AGENTS[0], members.MemberState.READY)
     guided.tick()
-    guided.time.advance(agent_guide.REFRESH_MS)
+    guided.time.advance(agent_coordinator.REFRESH_MS)
     guided.guide.tick(divided=False)
     sent = [message for _, message in guided.sync.sent]
     assert [type(message) for message in sent] == [fleet_messages.Guide]
--- a/tests/direct/fleet/test_version_ages.py
+++ b/tests/direct/fleet/test_version_ages.py
@@ -15,7 +15,7 @@
 from marlramp.core import event_time
 from marlramp.core import fleet
 from marlramp.core import members
-from marlramp.direct.fleet import agent_guide
+from marlramp.direct.fleet import agent_coordinator
 from marlramp.direct.fleet import catalog_sync
 from marlramp.direct.fleet import member_sync
 from marlramp.direct.fleet import named_weights
@@ -256,7 +256,7 @@
     acknowledged_ms = time.now_ms()
     sync = Member("entry-1", "dc-1", time)
     placed = placement.Placement({"dc-1": "north"}, sync, time)
-    guide = agent_guide.AgentGuide(known, placed, sync, time)
+    guide = agent_coordinator.AgentCoordinator(known, placed, sync, time)
     guide.tell("agent-1")
     (message,) = [
         message
