--- a/src/marlramp/direct/fleet/entry_fleet.py
+++ b/src/marlramp/direct/fleet/entry_fleet.py
@@ -27,7 +27,7 @@
 from marlramp.direct.fleet import load_exchange
 from marlramp.direct.fleet import member_sync
 from marlramp.direct.fleet import placement
-from marlramp.direct.fleet import relay_surroundings
+from marlramp.direct.fleet import relay_context
 from marlramp.direct.fleet import store_reader
 from marlramp.direct.fleet import version_ages
 from marlramp.direct.weights import piece_relay
@@ -133,7 +133,7 @@
         self._load_exchange = load_exchange.LoadExchange(
             self._placed, self.sync, table, totals, time
         )
-        self._relay_surroundings = relay_surroundings.RelaySurroundings(
+        self._relay_surroundings = relay_context.RelayContext(
             known, self._placed, self.sync, time
         )
         self._relay = piece_relay.PieceRelay(
--- a/src/marlramp/direct/fleet/relay_surroundings.py
+++ b/src/marlramp/direct/fleet/relay_context.py
@@ -19,7 +19,7 @@
 """Time in which an origin sends a piece if its rate is not known."""
 
 
-class RelaySurroundings:
+class RelayContext:
     """Announced versions, entries that relay pieces, and sending to others.
 
     Implements `piece_relay.Surroundings`.
