--- a/src/marlramp/direct/agent_daemon.py
+++ b/src/marlramp/direct/agent_daemon.py
@@ -21,7 +21,7 @@
 from marlramp.direct import metrics
 from marlramp.direct import settings_watch
 from marlramp.direct import side_server
-from marlramp.direct.fleet import crash_keeper
+from marlramp.direct.fleet import crash_backup
 from marlramp.direct.fleet import entry_contacts
 from marlramp.direct.fleet import named_weights
 from marlramp.direct.fleet import version_ages
@@ -207,7 +207,7 @@
             self._guide_to_ask,
             self._clock,
         )
-        self._crashes = crash_keeper.CrashKeeper(
+        self._crashes = crash_backup.CrashBackup(
             self._contacts,
             self._entry_links.send,
             self._clock,
--- a/src/marlramp/direct/fleet/crash_keeper.py
+++ b/src/marlramp/direct/fleet/crash_backup.py
@@ -32,7 +32,7 @@
 """Time between two removals of old crashes."""
 
 
-class CrashKeeper:
+class CrashBackup:
     """Keeps the crashes that entries send, for entries that lack them."""
 
     def __init__(
--- a/src/marlramp/direct/fleet/crash_sync.py
+++ b/src/marlramp/direct/fleet/crash_sync.py
@@ -108,7 +108,7 @@
         """Requests crashes from an agent whose ledger differs.
 
         The agent then requests what it lacks itself. Agents set the pace, see
-        `crash_keeper`. An entry skips an agent, and leaves it to the next
+        `crash_backup`. An entry skips an agent, and leaves it to the next
         entry, only if its recent answers exceed its rate. If it selected among
         the agents that differ, it would skip the same agents again and again.
         """
--- a/tests/direct/fleet/test_crash_keeper.py
+++ b/tests/direct/fleet/test_crash_backup.py
@@ -11,7 +11,7 @@
 from marlramp import ids
 from marlramp.core import crash_ledger
 from marlramp.core import members
-from marlramp.direct.fleet import crash_keeper
+from marlramp.direct.fleet import crash_backup
 from marlramp.direct.fleet import entry_contacts
 from marlramp.protocol import codec
 from marlramp.protocol import fleet_messages
@@ -48,7 +48,7 @@
             lambda _: None,
             time,
         )
-        self.keeper = crash_keeper.CrashKeeper(
+        self.keeper = crash_backup.CrashBackup(
             self.contacts, self._send, time, random.Random(1)
         )
 
@@ -126,7 +126,7 @@
     keeper.meet(["entry-0", "entry-1", "entry-2"])
     for _ in range(6):
         keeper.keeper.tick()
-        time.advance(crash_keeper.DIGEST_MS)
+        time.advance(crash_backup.DIGEST_MS)
     names = [name for name, _ in keeper.sent]
     assert sorted(names[:3]) == sorted(names[3:])
     assert sorted(names[:3]) == ["entry-0", "entry-1", "entry-2"]
@@ -152,7 +152,7 @@
         crashes=[crash(n) for n in range(10)], answers=True
     )
     keeper.keeper.on_message("entry-0", news)
-    wait_ms = crash_keeper.DIGEST_MS + 10 * crash_keeper.PAUSE_PER_CRASH_MS
+    wait_ms = crash_backup.DIGEST_MS + 10 * crash_backup.PAUSE_PER_CRASH_MS
     time.advance(wait_ms - 1.0)
     keeper.keeper.tick()
     assert len(keeper.sent) == 1
--- a/tests/direct/fleet/virtual_fleet.py
+++ b/tests/direct/fleet/virtual_fleet.py
@@ -16,7 +16,7 @@
 from marlramp.core import crash_record
 from marlramp.core import members
 from marlramp.core import replica_table
-from marlramp.direct.fleet import crash_keeper
+from marlramp.direct.fleet import crash_backup
 from marlramp.direct.fleet import crash_sync
 from marlramp.direct.fleet import entry_contacts
 from marlramp.direct.fleet import entry_limits
@@ -210,7 +210,7 @@
             self.member, 1, [], lambda _: None, lambda _: None, fleet.time
         )
         self.contacts.attach(self)
-        self.keeper = crash_keeper.CrashKeeper(
+        self.keeper = crash_backup.CrashBackup(
             self.contacts,
             self.send,
             fleet.time,
