--- a/src/marlramp/direct/fleet/agent_coordinator.py
+++ b/src/marlramp/direct/fleet/agent_coordinator.py
@@ -59,7 +59,7 @@
         self._sent: dict[str, _SentNeighbours] = {}
         self._refreshed_ms = float("-inf")
 
-    def tell_all(self) -> None:
+    def send_weights_to_all(self) -> None:
         """Sends the weights to all agents that this entry coordinates."""
         self._refreshed_ms = self._clock.now_ms()
         for vm_id in sorted(self._coordinated):
@@ -87,7 +87,7 @@
             for vm_id in sorted(self._coordinated):
                 self._send_neighbours(vm_id, agents)
         if self._clock.now_ms() - self._refreshed_ms >= REFRESH_MS:
-            self.tell_all()
+            self.send_weights_to_all()
         self._suspect_silent()
 
     def _find_coordinated(self) -> None:
--- a/src/marlramp/direct/fleet/entry_fleet.py
+++ b/src/marlramp/direct/fleet/entry_fleet.py
@@ -227,7 +227,7 @@
     def _changed(self, changes: list[catalog.Change]) -> None:
         self._on_changes(changes)
         if any(not isinstance(c, catalog.ReplicaChange) for c in changes):
-            self._guide.tell_all()
+            self._guide.send_weights_to_all()
             self._take_origin()
             self._relay.look()
 
