--- a/src/marlramp/direct/fleet/agent_coordinator.py
+++ b/src/marlramp/direct/fleet/agent_coordinator.py
@@ -65,7 +65,7 @@
         for vm_id in sorted(self._coordinated):
             self._send_weights(vm_id)
 
-    def tell(self, vm_id: str) -> None:
+    def send_full_update(self, vm_id: str) -> None:
         """Sends complete information to one agent.
 
         This is needed when the agent starts, finds this entry or has missed
--- a/src/marlramp/direct/fleet/entry_fleet.py
+++ b/src/marlramp/direct/fleet/entry_fleet.py
@@ -335,7 +335,7 @@
             case fleet_messages.EngineDigest():
                 self._digests.on_digest(message)
             case fleet_messages.NeighboursRequest():
-                self._guide.tell(name)
+                self._guide.send_full_update(name)
 
     def _on_engine(
         self, report: replica_view.LoadReport, told_ms: float
@@ -386,7 +386,7 @@
     def on_member(self, member: members.Member) -> None:
         """Tells an agent that introduced itself what it needs to know."""
         if member.kind is members.MemberKind.AGENT:
-            self._guide.tell(member.vm_id)
+            self._guide.send_full_update(member.vm_id)
 
     def on_revision(self, name: str, revision: int) -> None:
         """Takes the revision that another entry knows."""
--- a/tests/direct/fleet/test_agent_coordinator.py
+++ b/tests/direct/fleet/test_agent_coordinator.py
@@ -130,7 +130,7 @@
     for agent in AGENTS[:3]:
         guided.sync.note(agent, members.MemberState.READY)
     guided.tick()
-    guided.guide.tell("agent-0")
+    guided.guide.send_full_update("agent-0")
     told = guided.sync.neighbours()["agent-0"]
     assert told.after == 0
     assert [entry.vm_id for entry in told.entries] == ["entry-1"]
--- a/tests/direct/fleet/test_version_ages.py
+++ b/tests/direct/fleet/test_version_ages.py
@@ -257,7 +257,7 @@
     sync = Member("entry-1", "dc-1", time)
     placed = placement.Placement({"dc-1": "north"}, sync, time)
     guide = agent_coordinator.AgentCoordinator(known, placed, sync, time)
-    guide.tell("agent-1")
+    guide.send_full_update("agent-1")
     (message,) = [
         message
         for _, message in sync.sent
