--- a/src/marlramp/direct/fleet/crash_sync.py
+++ b/src/marlramp/direct/fleet/crash_sync.py
@@ -159,7 +159,7 @@
             self._sync.send_some(fleet_messages.CrashNews(crashes=crashes))
         self._log_block_changes()
 
-    def tell_soon(self) -> None:
+    def schedule_send(self) -> None:
         """Schedules sending of the crashes noticed here to other processes."""
         if not self._send_scheduled:
             self._send_scheduled = True
--- a/src/marlramp/direct/fleet/entry_fleet.py
+++ b/src/marlramp/direct/fleet/entry_fleet.py
@@ -356,7 +356,7 @@
 
     def tell_crashes(self) -> None:
         """Tells the others of a crash that was noticed here."""
-        self._crash_sync.tell_soon()
+        self._crash_sync.schedule_send()
 
     # What the members ask for.
 
