--- a/src/marlramp/direct/fleet/crash_sync.py
+++ b/src/marlramp/direct/fleet/crash_sync.py
@@ -120,7 +120,7 @@
         digests = self._record.ledger.digests()
         self._sync.send(name, fleet_messages.CrashRequest(digests=digests))
 
-    def on_news(self, message: fleet_messages.CrashNews) -> None:
+    def on_updates(self, message: fleet_messages.CrashNews) -> None:
         """Merges crashes that another process sends."""
         is_new = self._record.merge(message.crashes, self._clock.now_ms())
         if is_new:
--- a/src/marlramp/direct/fleet/entry_fleet.py
+++ b/src/marlramp/direct/fleet/entry_fleet.py
@@ -321,7 +321,7 @@
             case fleet_messages.VersionAges():
                 self._take_ages(name, message)
             case fleet_messages.CrashNews():
-                self._crash_sync.on_news(message)
+                self._crash_sync.on_updates(message)
             case fleet_messages.CrashRequest():
                 self._crash_sync.on_request(name, message)
             case fleet_messages.CrashDigest():
--- a/tests/direct/fleet/virtual_fleet.py
+++ b/tests/direct/fleet/virtual_fleet.py
@@ -142,7 +142,7 @@
             return
         match message:
             case fleet_messages.CrashNews():
-                self.crash_sync.on_news(message)
+                self.crash_sync.on_updates(message)
             case fleet_messages.CrashRequest():
                 self.crash_sync.on_request(name, message)
             case fleet_messages.CrashDigest():
