--- a/src/marlramp/direct/agent_daemon.py
+++ b/src/marlramp/direct/agent_daemon.py
@@ -335,7 +335,7 @@
         if isinstance(message, fleet_messages.FromAgentPeer):
             self._exchange.on_message(name, message)
         if isinstance(message, fleet_messages.Guide):
-            if self._weights.take_guide(message):
+            if self._weights.handle_guide(message):
                 self._ages.note_news(name)
             self._may_cut = message.streams_resume
         if isinstance(message, fleet_messages.VersionAges):
@@ -446,7 +446,7 @@
         self._entry_links.close_idle()
 
     async def _learn_unguided(self) -> None:
-        await self._weights.learn_unguided(
+        await self._weights.read_store_uncoordinated(
             self._store, lambda: self._contacts.guided
         )
 
--- a/src/marlramp/direct/fleet/named_weights.py
+++ b/src/marlramp/direct/fleet/named_weights.py
@@ -93,7 +93,7 @@
         """Returns the announced target of a model, None if there is none."""
         return self.catalog.targets.get(model)
 
-    def take_guide(self, guide: fleet_messages.Guide) -> bool:
+    def handle_guide(self, guide: fleet_messages.Guide) -> bool:
         """Applies a coordinator's message.
 
         Returns:
@@ -107,7 +107,7 @@
         self._set_engine(guide.engine)
         return is_new
 
-    async def learn_unguided(
+    async def read_store_uncoordinated(
         self, store: ReadableStore, is_coordinated: Callable[[], bool]
     ) -> None:
         """Reads the store at the start and while there is no coordinator.
--- a/tests/direct/fleet/test_named_weights.py
+++ b/tests/direct/fleet/test_named_weights.py
@@ -37,7 +37,7 @@
     async def main() -> None:
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(run_s):
-                await weights.learn_unguided(store, lambda: True)
+                await weights.read_store_uncoordinated(store, lambda: True)
 
     asyncio.run(main())
     return weights
--- a/tests/direct/fleet/test_version_ages.py
+++ b/tests/direct/fleet/test_version_ages.py
@@ -265,7 +265,7 @@
     ]
     time.advance(WAY_MS)
     weights = named_weights.NamedWeights(lambda _: None, time)
-    weights.take_guide(message)
+    weights.handle_guide(message)
     target = weights.target("m")
     assert target is not None
     assert target.named_ms is not None
