--- a/src/marlramp/direct/agent_daemon.py
+++ b/src/marlramp/direct/agent_daemon.py
@@ -21,7 +21,7 @@
 from marlramp.direct import metrics
 from marlramp.direct import page_server
 from marlramp.direct import settings_watch
-from marlramp.direct.fleet import crash_keeper
+from marlramp.direct.fleet import crash_backup
 from marlramp.direct.fleet import entry_contacts
 from marlramp.direct.fleet import named_weights
 from marlramp.direct.fleet import version_ages
@@ -212,7 +212,7 @@
             self._pick_coordinator,
             self._clock,
         )
-        self._crashes = crash_keeper.CrashKeeper(
+        self._crashes = crash_backup.CrashBackup(
             self._contacts,
             self._entry_links.send,
             self._clock,
@@ -368,7 +368,7 @@
         if isinstance(message, fleet_messages.FromAgentPeer):
             self._exchange.on_message(name, message)
         if isinstance(message, fleet_messages.Guide):
-            if self._weights.take_guide(message):
+            if self._weights.handle_guide(message):
                 self._ages.on_version_announced(name)
             self._may_cut = message.streams_resume
         if isinstance(message, fleet_messages.VersionAges):
@@ -488,7 +488,7 @@
         self._entry_links.close_idle()
 
     async def _read_unguided(self) -> None:
-        await self._weights.learn_unguided(
+        await self._weights.read_store_uncoordinated(
             self._store, lambda: self._contacts.is_coordinated
         )
 
--- a/src/marlramp/direct/fleet/entry_fleet.py
+++ b/src/marlramp/direct/fleet/entry_fleet.py
@@ -19,7 +19,7 @@
 from marlramp.core import replica_table
 from marlramp.core import replica_view
 from marlramp.core import store_completeness
-from marlramp.direct.fleet import agent_guide
+from marlramp.direct.fleet import agent_coordinator
 from marlramp.direct.fleet import catalog_sync
 from marlramp.direct.fleet import crash_sync
 from marlramp.direct.fleet import engine_digests
@@ -27,7 +27,7 @@
 from marlramp.direct.fleet import load_exchange
 from marlramp.direct.fleet import member_sync
 from marlramp.direct.fleet import placement
-from marlramp.direct.fleet import relay_surroundings
+from marlramp.direct.fleet import relay_context
 from marlramp.direct.fleet import store_reader
 from marlramp.direct.fleet import version_ages
 from marlramp.direct.weights import piece_relay
@@ -132,13 +132,13 @@
         self.limits = entry_limits.EntryLimits(
             self.sync, table, settings.regions, totals, time
         )
-        self._guide = agent_guide.AgentGuide(
+        self._guide = agent_coordinator.AgentCoordinator(
             known, self._placed, self.sync, time
         )
         self._load_exchange = load_exchange.LoadExchange(
             self._placed, self.sync, table, totals, time
         )
-        self._relay_surroundings = relay_surroundings.RelaySurroundings(
+        self._relay_surroundings = relay_context.RelayContext(
             known, self._placed, self.sync, time
         )
         self._relay = piece_relay.PieceRelay(
@@ -237,7 +237,7 @@
     def _changed(self, changes: list[catalog.Change]) -> None:
         self._on_changes(changes)
         if any(not isinstance(c, catalog.ReplicaChange) for c in changes):
-            self._guide.tell_all()
+            self._guide.send_weights_to_all()
             self._apply_origin()
             self._relay.wake()
 
@@ -335,7 +335,7 @@
             case fleet_messages.VersionAges():
                 self._handle_ages(name, message)
             case fleet_messages.CrashNews():
-                self._crash_sync.on_news(message)
+                self._crash_sync.on_updates(message)
             case fleet_messages.CrashRequest():
                 self._crash_sync.on_request(name, message)
             case fleet_messages.CrashDigest():
@@ -349,7 +349,7 @@
             case fleet_messages.EngineDigest():
                 self._digests.on_digest(message)
             case fleet_messages.NeighboursRequest():
-                self._guide.tell(name)
+                self._guide.send_full_update(name)
 
     def _on_engine(
         self, report: replica_view.LoadReport, reported_ms: float
@@ -370,7 +370,7 @@
 
     def announce_crashes(self) -> None:
         """Announces a crash that this entry noticed."""
-        self._crash_sync.tell_soon()
+        self._crash_sync.schedule_send()
 
     # Interface for `MemberSync`.
 
@@ -400,7 +400,7 @@
     def on_member(self, member: members.Member) -> None:
         """Sends an agent that introduced itself what it needs to know."""
         if member.kind is members.MemberKind.AGENT:
-            self._guide.tell(member.vm_id)
+            self._guide.send_full_update(member.vm_id)
 
     def on_revision(self, name: str, revision: int) -> None:
         """Handles the revision of another entry's catalog."""
--- a/tests/direct/fleet/test_version_ages.py
+++ b/tests/direct/fleet/test_version_ages.py
@@ -15,7 +15,7 @@
 from marlramp.core import event_time
 from marlramp.core import fleet
 from marlramp.core import members
-from marlramp.direct.fleet import agent_guide
+from marlramp.direct.fleet import agent_coordinator
 from marlramp.direct.fleet import catalog_sync
 from marlramp.direct.fleet import member_sync
 from marlramp.direct.fleet import named_weights
@@ -257,8 +257,8 @@
     acknowledged_ms = time.now_ms()
     sync = Member("entry-1", "dc-1", time)
     placed = placement.Placement({"dc-1": "north"}, sync, time)
-    guide = agent_guide.AgentGuide(known, placed, sync, time)
-    guide.tell("agent-1")
+    guide = agent_coordinator.AgentCoordinator(known, placed, sync, time)
+    guide.send_full_update("agent-1")
     (message,) = [
         message
         for _, message in sync.sent
@@ -266,7 +266,7 @@
     ]
     time.advance(PATH_LATENCY_MS)
     weights = named_weights.NamedWeights(lambda _: None, time)
-    weights.take_guide(message)
+    weights.handle_guide(message)
     target = weights.target("m")
     assert target is not None
     assert target.named_ms is not None
