--- a/src/marlramp/entry/__init__.py
+++ b/src/marlramp/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The process on each entry VM."""
+"""The entry: the process that receives callers' requests on the grants path."""
--- a/src/marlramp/entry/admin_app.py
+++ b/src/marlramp/entry/admin_app.py
@@ -1,7 +1,7 @@
-"""Administration API, protected by a key.
+"""Administration API of an entry, protected by a key.
 
-It reads what this entry knows and changes only this entry's memory or gives
-orders to running processes; nothing it does is written anywhere.
+It reports this entry's state, changes only its memory, or sends orders to
+running processes. It writes nothing to storage.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
 
 
 class Fleet(Protocol):
-    """What the administration API asks of the daemon."""
+    """Functions of the daemon that the administration API uses."""
 
     @property
     def leaving(self) -> bool:
@@ -53,11 +53,11 @@
         ...
 
     def vms(self) -> list[clients.ListedVm]:
-        """Returns the platform's list as last read."""
+        """Returns the platform's VM list as last read."""
         ...
 
     def drain_vm(self, vm_id: ids.VmId, reason: str) -> bool:
-        """Has a process drain; False if this entry cannot reach it."""
+        """Makes a process drain; returns False if it is unreachable."""
         ...
 
 
@@ -70,19 +70,19 @@
         entry_id: ids.VmId,
         settings: store.SettingsStore,
         table: agent_table.AgentTable,
-        owner: dispatcher.Dispatcher,
-        admitting: admission.Admission,
+        call_dispatcher: dispatcher.Dispatcher,
+        admission_control: admission.Admission,
         totals: counters.Counters,
         fleet: Fleet,
         time: clock.Clock,
     ) -> None:
-        """Answers only requests that carry `key`."""
+        """Creates endpoints for requests that carry `key` as a bearer token."""
         self._key = key.encode()
         self._entry_id = entry_id
         self._settings = settings
         self._table = table
-        self._owner = owner
-        self._admission = admitting
+        self._dispatcher = call_dispatcher
+        self._admission = admission_control
         self._totals = totals
         self._fleet = fleet
         self._clock = time
@@ -100,7 +100,7 @@
         ]
 
     async def status(self, request: requests.Request) -> responses.Response:
-        """Tells how this entry is."""
+        """Returns the state of this entry."""
         agents = list(self._table)
         return _json(
             admin_documents.Status(
@@ -110,9 +110,10 @@
                 settings_complete=self._settings.complete,
                 revisions=self._settings.revisions(),
                 refused_documents=self._settings.refusals,
-                calls_active=self._owner.active,
+                calls_active=self._dispatcher.active,
                 queues={
-                    str(k): v for k, v in self._owner.queue_lengths().items()
+                    str(k): v
+                    for k, v in self._dispatcher.queue_lengths().items()
                 },
                 agents=len(agents),
                 agents_ready=sum(1 for info in agents if info.accepts_work),
@@ -120,7 +121,7 @@
         )
 
     async def settings(self, request: requests.Request) -> responses.Response:
-        """Tells the effective settings and the level each comes from."""
+        """Returns the effective settings and the level that each comes from."""
         service = request.query_params.get("service")
         customer = request.query_params.get("customer")
         explained: list[tree.Effective] = self._settings.tree.explain(
@@ -130,7 +131,7 @@
         return _json(explained)
 
     async def rollouts(self, request: requests.Request) -> responses.Response:
-        """Tells how far each service's rollout is at this entry's agents."""
+        """Returns each service's rollout progress at this entry's agents."""
         found = []
         for service_id in self._settings.tree.service_ids():
             rollout = self._settings.tree.rollout(service_id)
@@ -139,7 +140,7 @@
         return _json(found)
 
     async def vms(self, request: requests.Request) -> responses.Response:
-        """Tells about every VM that is listed or linked."""
+        """Returns the state of each VM that is listed or linked."""
         listed = {ids.VmId(vm.vm_id): vm for vm in self._fleet.vms()}
         linked = {info.vm_id: info for info in self._table}
         found = [
@@ -149,7 +150,7 @@
         return _json(found)
 
     async def limits(self, request: requests.Request) -> responses.Response:
-        """Tells each customer's limit and this entry's share of it."""
+        """Returns each customer's limits and this entry's share of them."""
         entries = self._admission.entries_listed
         found = []
         for customer_id in self._settings.tree.customer_ids():
@@ -166,7 +167,7 @@
         return _json(found)
 
     async def counters(self, request: requests.Request) -> responses.Response:
-        """Tells all counters of this entry and of its agents."""
+        """Returns all counters of this entry and of its agents."""
         found = [
             admin_documents.CounterStatus(
                 self._entry_id, v.name.value, v.reason, v.total
@@ -186,7 +187,7 @@
         return _json(found)
 
     async def drain(self, request: requests.Request) -> responses.Response:
-        """Has this entry or one of its agents drain."""
+        """Makes this entry or one of its agents drain."""
         body = await request.body()
         try:
             order = msgspec.json.decode(
--- a/src/marlramp/entry/admin_documents.py
+++ b/src/marlramp/entry/admin_documents.py
@@ -1,4 +1,4 @@
-"""Documents of the administration API, shared with the command-line tool."""
+"""JSON documents of the administration API, also used by the command line."""
 
 from __future__ import annotations
 
--- a/src/marlramp/entry/admission.py
+++ b/src/marlramp/entry/admission.py
@@ -1,4 +1,4 @@
-"""Decides which calls an entry admits: settings, deadlines, limits."""
+"""Admits or refuses calls by the settings, their deadlines and rate limits."""
 
 from __future__ import annotations
 
@@ -13,15 +13,22 @@
 from marlramp.settings import store
 
 RETRY_AFTER_MAX_MS = 3_600_000
+"""Longest wait before a retry that a refusal recommends, 1 h."""
 
 
 class Admission:
-    """Refuses what must not or cannot be served, before anything is sent."""
+    """Refuses calls that cannot or must not be served, before they are sent.
+
+    Attributes:
+      entry_count: number of listed entries, among which each customer's limit
+        is divided.
+      draining: whether this entry refuses all calls because it shuts down.
+    """
 
     def __init__(
         self, settings: store.SettingsStore, table: agent_table.AgentTable
     ) -> None:
-        """Starts with no customer known to have called."""
+        """Starts without limits; a customer's first call creates its limit."""
         self._settings = settings
         self._table = table
         self._limits: dict[ids.CustomerId, limits.CustomerLimit] = {}
@@ -29,7 +36,7 @@
         self.draining = False
 
     def settings_changed(self, now_ms: clock.Millis) -> None:
-        """Applies settings, or a number of entries, that came into force."""
+        """Applies changed settings or a changed `entry_count` to the limits."""
         for customer_id, limit in self._limits.items():
             values = self._settings.tree.effective(None, customer_id)
             limit.update(
@@ -43,10 +50,10 @@
     def check(
         self, spec: calls.CallSpec, token: run_tokens.RunToken | None
     ) -> None:
-        """Checks a call against the settings.
+        """Checks a call against the settings and its run token, if any.
 
         Raises:
-          errors.CallError: if it is refused.
+          errors.CallError: if the call is refused.
         """
         if self.draining:
             raise errors.CallError(errors.ErrorKind.ENTRY_LEAVING)
@@ -57,8 +64,8 @@
             raise errors.CallError(errors.ErrorKind.UNKNOWN_SERVICE)
         if not tree.knows_customer(spec.customer_id):
             raise errors.CallError(errors.ErrorKind.UNKNOWN_CUSTOMER)
-        wanted = (spec.service_id, spec.customer_id)
-        if token is not None and wanted != (
+        requested = (spec.service_id, spec.customer_id)
+        if token is not None and requested != (
             token.service_id,
             token.customer_id,
         ):
@@ -73,10 +80,14 @@
         service: service_queue.ServiceQueue,
         now_ms: clock.Millis,
     ) -> None:
-        """Checks that a call can meet its deadline.
+        """Checks that a call can end before its deadline.
+
+        The expected wait is the expected duration of the requests ahead of
+        the call in the queue, divided by the attempts in flight.
 
         Raises:
-          errors.CallError: if no upstream serves it or it would end too late.
+          errors.CallError: if no upstream serves the service, or if the
+            deadline has passed or is expected to pass.
         """
         if not self._table.serving(spec.service_id):
             raise errors.CallError(errors.ErrorKind.NO_UPSTREAM)
@@ -105,17 +116,21 @@
         service: service_queue.ServiceQueue,
         now_ms: clock.Millis,
     ) -> bool:
-        """Returns whether a call that waited would end after its deadline."""
+        """Returns whether a call that starts now would end after its deadline.
+
+        `parts_delivered` parts of the answer have been delivered and are not
+        generated again.
+        """
         if not self._refuses_unreachable(spec):
             return False
         expected_ms = service.pace.expected_ms(spec.tokens - parts_delivered)
         return now_ms + expected_ms > spec.deadline_ms
 
     def charge(self, spec: calls.CallSpec, now_ms: clock.Millis) -> None:
-        """Charges a call to its customer's limit.
+        """Charges a call to its customer's rate limit.
 
         Raises:
-          errors.CallError: if the limit is used up.
+          errors.CallError: if the call exceeds the limit.
         """
         limit = self._limits.get(spec.customer_id)
         if limit is None:
@@ -138,7 +153,7 @@
     def settle(
         self, spec: calls.CallSpec, tokens: int, now_ms: clock.Millis
     ) -> None:
-        """Gives back what was charged for tokens that were not generated."""
+        """Refunds the tokens that were charged but not generated."""
         limit = self._limits.get(spec.customer_id)
         if limit is not None:
             limit.settle(spec.tokens, min(tokens, spec.tokens), now_ms)
--- a/src/marlramp/entry/agent_links.py
+++ b/src/marlramp/entry/agent_links.py
@@ -1,4 +1,4 @@
-"""The entry's end of the links from its agents."""
+"""Exchanges messages with the agents that are linked to an entry."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class AgentLinks:
-    """Receives from all agents on one socket and sends to each."""
+    """Receives messages from all agents, and sends to each, on one socket."""
 
     def __init__(
         self,
@@ -21,7 +21,14 @@
         on_message: Callable[[links.LinkId, messages.FromAgent], None],
         on_unreachable: Callable[[ids.VmId], None],
     ) -> None:
-        """Calls `on_message` for each message that can be decoded."""
+        """Creates the links.
+
+        Args:
+          listener: the socket.
+          totals: counts dropped messages.
+          on_message: receives each message that can be decoded.
+          on_unreachable: is called when sending to an agent fails.
+        """
         self._listener = listener
         self._totals = totals
         self._on_message = on_message
@@ -30,7 +37,7 @@
         self._routes: dict[ids.VmId, bytes] = {}
 
     def send(self, vm_id: ids.VmId, message: messages.FromEntry) -> bool:
-        """Sends a message; returns False if the agent cannot be reached."""
+        """Sends a message; returns False if the agent is unreachable."""
         routing_id = self._routes.get(vm_id)
         if routing_id is None:
             return False
@@ -42,7 +49,7 @@
         return False
 
     async def run(self) -> None:
-        """Receives for ever."""
+        """Receives messages until cancelled."""
         while True:
             for received in await self._listener.receive():
                 self._on_received(received)
@@ -57,16 +64,16 @@
         except codec.DecodeError as error:
             self._drop(error.reason)
             return
-        if self._foreign(link_id, message):
+        if self._identity_differs(link_id, message):
             self._drop("identity")
             return
         self._routes[ids.VmId(link_id.vm_id)] = received.routing_id
         self._on_message(link_id, message)
 
-    def _foreign(
+    def _identity_differs(
         self, link_id: links.LinkId, message: messages.FromAgent
     ) -> bool:
-        """Returns whether a report speaks for another VM than its link's."""
+        """Returns whether a report names another process than its link does."""
         return isinstance(message, messages.AgentReport) and (
             message.vm_id != link_id.vm_id
             or message.incarnation != link_id.incarnation
--- a/src/marlramp/entry/answers.py
+++ b/src/marlramp/entry/answers.py
@@ -1,4 +1,4 @@
-"""Answers to callers: errors with their kind, and streamed events."""
+"""HTTP answers to callers: error documents and streamed answers."""
 
 from __future__ import annotations
 
@@ -28,8 +28,9 @@
 VERSION_HEADER = "marlramp-version"
 ERROR_KIND_HEADER = "marlramp-error"
 
-KEPT_BYTES_MAX = 1024 * 1024
-"""Most data kept for a caller that reads more slowly than it is answered."""
+BUFFERED_BYTES_MAX = 1024 * 1024
+"""Most data buffered for a caller that reads slowly; beyond it the call is
+abandoned."""
 
 
 class ErrorBody(msgspec.Struct, frozen=True):
@@ -37,12 +38,12 @@
 
     Attributes:
       kind: one of `errors.ErrorKind`.
-      message: explanation.
+      message: explanation for people.
       ran: whether the request ran: no, yes or unknown.
-      retry_after_ms: when to come back, None if a retry cannot help.
+      retry_after_ms: recommended wait before a retry, or None.
       request_id: the caller's request id.
-      run_token: a token to send the request again with, if one was made.
-      addresses: entries to use instead, if others are better.
+      run_token: a run token to send the request again with, or None.
+      addresses: addresses of entries to use instead, empty for none.
     """
 
     kind: errors.ErrorKind
@@ -55,7 +56,7 @@
 
 
 class ErrorDocument(msgspec.Struct, frozen=True):
-    """Outermost object of an error answer."""
+    """Top-level JSON object of an error answer."""
 
     error: ErrorBody
 
@@ -99,40 +100,40 @@
 
 
 def error_event(body: ErrorBody) -> bytes:
-    """Returns the event that ends a stream which is not whole."""
+    """Returns the event that ends an incomplete stream."""
     data = msgspec.json.encode(ErrorDocument(body))
     return b"event: error\ndata: " + data + b"\n\n"
 
 
 class StreamedAnswer:
-    """ASGI response that relays the answer of a call as it arrives.
+    """ASGI response that streams the answer of a call as it arrives.
 
-    Nothing is sent before the first part, so that a call that fails early
-    gets an error status. A stream that fails later ends with an error event
-    and without the event that marks a whole answer.
+    Nothing is sent before the first part, so that a call that fails before it
+    is answered with an error status. A stream that fails later ends with an
+    error event and without the event that marks a complete answer.
     """
 
     def __init__(
         self,
         call: call_module.Call,
-        owner: dispatcher.Dispatcher,
+        call_dispatcher: dispatcher.Dispatcher,
         headers: dict[str, str],
     ) -> None:
-        """Relays `call`, which the dispatcher `owner` drives."""
+        """Streams the answer of `call`."""
         self._call = call
-        self._owner = owner
+        self._dispatcher = call_dispatcher
         self._headers = headers
 
     async def __call__(
         self, scope: types.Scope, receive: types.Receive, send: types.Send
     ) -> None:
-        """Sends the answer; the call is abandoned if the caller goes away."""
+        """Sends the answer; abandons the call if the caller disconnects."""
         watcher = asyncio.create_task(self._watch(receive))
         try:
             await self._relay(scope, receive, send)
         finally:
             watcher.cancel()
-            self._owner.abandon(self._call)
+            self._dispatcher.abandon(self._call)
 
     async def _relay(
         self, scope: types.Scope, receive: types.Receive, send: types.Send
@@ -147,7 +148,7 @@
             return
         await send(self._start())
         await send(_body(data, more=True))
-        writer = _DirectWriter(send, lambda: self._owner.abandon(call))
+        writer = _DirectWriter(send, lambda: self._dispatcher.abandon(call))
         call.attach(writer.write)
         try:
             await call.whole()
@@ -178,32 +179,32 @@
         while True:
             message = await receive()
             if message["type"] == "http.disconnect":
-                self._owner.abandon(self._call)
+                self._dispatcher.abandon(self._call)
                 return
 
 
 class _DirectWriter:
-    """Writes to a caller in the step of the loop that brought the data.
+    """Writes to a caller in the event loop step in which the data arrived.
 
-    The ASGI server's `send` only waits when the caller reads too slowly, so
-    it is run without a task; when it does wait, a task takes over and further
-    data is kept until it is done.
+    The ASGI server's `send` waits only if the caller reads too slowly, so it is
+    called without a task. If it does wait, a task completes the write, and
+    later data is buffered until then.
     """
 
     def __init__(
-        self, send: types.Send, on_too_slow: Callable[[], None]
+        self, send: types.Send, on_overflow: Callable[[], None]
     ) -> None:
-        """Calls `on_too_slow` when too much data is kept."""
+        """Calls `on_overflow` when too much data is buffered."""
         self._send = send
-        self._on_too_slow = on_too_slow
+        self._on_overflow = on_overflow
         self._task: asyncio.Task[None] | None = None
-        self._kept: list[bytes] = []
-        self._kept_bytes = 0
+        self._buffered: list[bytes] = []
+        self._buffered_bytes = 0
 
     def write(self, data: bytes) -> None:
-        """Writes now, or keeps data for a caller that reads slowly."""
+        """Writes data at once, or buffers it while an earlier write waits."""
         if self._task is not None:
-            self._keep(data)
+            self._buffer(data)
             return
         sending = self._send(_body(data, more=True)).__await__()
         try:
@@ -213,28 +214,28 @@
         self._task = asyncio.create_task(self._drain(sending, waited))
 
     async def flush(self) -> None:
-        """Returns when everything has been written."""
+        """Waits until all data has been written."""
         while self._task is not None:
             await self._task
 
-    def _keep(self, data: bytes) -> None:
-        self._kept.append(data)
-        self._kept_bytes += len(data)
-        if self._kept_bytes > KEPT_BYTES_MAX:
-            self._on_too_slow()
+    def _buffer(self, data: bytes) -> None:
+        self._buffered.append(data)
+        self._buffered_bytes += len(data)
+        if self._buffered_bytes > BUFFERED_BYTES_MAX:
+            self._on_overflow()
 
     async def _drain(
         self,
         sending: Generator[Any, None, None],
         waited: Awaitable[object],
     ) -> None:
-        """Finishes a write that had to wait, then writes what was kept."""
+        """Completes a write that waits, then writes the buffered data."""
         try:
             await _finish(sending, waited)
-            while self._kept:
-                data = b"".join(self._kept)
-                self._kept.clear()
-                self._kept_bytes = 0
+            while self._buffered:
+                data = b"".join(self._buffered)
+                self._buffered.clear()
+                self._buffered_bytes = 0
                 await self._send(_body(data, more=True))
         finally:
             self._task = None
--- a/src/marlramp/entry/application.py
+++ b/src/marlramp/entry/application.py
@@ -1,4 +1,4 @@
-"""The ASGI application of an entry."""
+"""Builds the ASGI application of an entry."""
 
 from __future__ import annotations
 
@@ -17,10 +17,11 @@
     admin: admin_app.AdminApp,
     exporter: metrics.MetricsExporter,
 ) -> routing.Router:
-    """Returns the application with all routes.
+    """Returns a router for the callers', administration and metrics routes.
 
-    A bare router: the layers of a whole starlette application would cost
-    every part of a stream, see docs/design/relay.md.
+    It is a bare router, because every part of a stream would pass through the
+    middleware layers of a complete starlette application; see
+    docs/design/relay.md.
     """
     routes = [*callers.routes(), *admin.routes(), *exporter.routes()]
     return routing.Router(routes)
--- a/src/marlramp/entry/call.py
+++ b/src/marlramp/entry/call.py
@@ -1,4 +1,4 @@
-"""A call in progress at an entry, between the dispatcher and its caller."""
+"""A call in progress, shared by the dispatcher and the caller's task."""
 
 from __future__ import annotations
 
@@ -15,22 +15,26 @@
 
 
 class Call:
-    """State of one call and the answer collected for its caller.
+    """One call and the answer data that is buffered for its caller.
 
     Attributes:
-      state: tries and delivered parts.
-      waiting: its place in the queue.
-      token: the run token it carries, or None.
-      grant: the grant of the current try, or None.
-      try_id: id of the current try.
-      started_ms: when the current try was sent.
-      sent: whether the current try was handed to a socket.
-      progress_ms: when anything last arrived for it.
-      asked_ms: when its agent was last asked what became of it.
+      state: attempts and delivered parts.
+      waiting: the request as the queue holds it.
+      token: the run token of the call, or None.
+      grant: the grant of the current attempt, or None.
+      attempt_id: request id of the current attempt.
+      started_ms: when the current attempt started.
+      sent: whether the current attempt was passed to a socket.
+      progress_ms: when the last headers or parts of the current attempt
+        arrived, or when it started.
+      queried_ms: when the agent was last queried about the current attempt,
+        or when the attempt started.
       admitted_ms: when the call was admitted.
-      first_part_ms: when the first part arrived, None before.
-      status: HTTP status of the answer, None before it is known.
-      content_type: type of the answer.
+      first_part_ms: when the first part of the current attempt arrived, or
+        None.
+      status: HTTP status of the answer, or None until it is known.
+      content_type: media type of the answer.
+      failure: why the call failed, or None.
     """
 
     def __init__(
@@ -40,16 +44,16 @@
         token: run_tokens.RunToken | None,
         admitted_ms: float,
     ) -> None:
-        """Starts before the first try."""
+        """Creates a call without an attempt."""
         self.state = state
         self.waiting = waiting
         self.token = token
         self.grant: grant_pool.HeldGrant | None = None
-        self.try_id = ids.RequestId("")
+        self.attempt_id = ids.RequestId("")
         self.admitted_ms = admitted_ms
         self.started_ms = 0.0
         self.progress_ms = 0.0
-        self.asked_ms = 0.0
+        self.queried_ms = 0.0
         self.first_part_ms: float | None = None
         self.sent = False
         self.status: int | None = None
@@ -62,16 +66,16 @@
 
     @property
     def spec(self) -> calls.CallSpec:
-        """What the caller asked for."""
+        """The request as its caller sent it."""
         return self.state.spec
 
     @property
     def ended(self) -> bool:
-        """Whether the answer is whole or has failed."""
+        """Whether the answer is complete or the call has failed."""
         return self._ended
 
     def deliver(self, parts: list[assembly.Part]) -> None:
-        """Hands parts that are in order to the caller."""
+        """Passes consecutive parts of the answer to the caller."""
         if not parts:
             return
         if self._sink is not None:
@@ -81,7 +85,7 @@
         self._wake()
 
     def attach(self, sink: Callable[[bytes], None]) -> None:
-        """Sends all further data to `sink`, without waking a task for it."""
+        """Passes buffered and later data to `sink` without waking a task."""
         self._sink = sink
         if self._ready:
             data = b"".join(self._ready)
@@ -89,7 +93,7 @@
             sink(data)
 
     def end(self, failure: errors.CallError | None) -> None:
-        """Ends the answer, whole if there is no failure."""
+        """Ends the call; the answer is complete if `failure` is None."""
         if self._ended:
             return
         self._ended = True
@@ -97,7 +101,7 @@
         self._wake()
 
     async def next_data(self) -> bytes:
-        """Returns the next bytes of the answer, empty at its whole end.
+        """Returns the next bytes of the answer, empty once it is complete.
 
         Raises:
           errors.CallError: if the call failed.
@@ -112,7 +116,7 @@
         return data
 
     async def whole(self) -> None:
-        """Returns at the whole end of an answer that goes to a sink.
+        """Waits until an answer that is passed to a sink is complete.
 
         Raises:
           errors.CallError: if the call failed.
--- a/src/marlramp/entry/caller_app.py
+++ b/src/marlramp/entry/caller_app.py
@@ -1,4 +1,4 @@
-"""HTTP interface for callers."""
+"""HTTP API of an entry for callers."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class EntryDirectory(Protocol):
-    """Knows the entries."""
+    """Lists the entries of the fleet."""
 
     @property
     def leaving(self) -> bool:
@@ -98,16 +98,16 @@
 
     def __init__(
         self,
-        owner: dispatcher.Dispatcher,
-        asked: questions.Questions,
+        call_dispatcher: dispatcher.Dispatcher,
+        queries: questions.Questions,
         settings: store.SettingsStore,
         signer: run_tokens.TokenSigner,
         directory: EntryDirectory,
         time: clock.Clock,
     ) -> None:
-        """Submits calls to `owner`."""
-        self._owner = owner
-        self._questions = asked
+        """Creates endpoints that submit calls to the dispatcher."""
+        self._dispatcher = call_dispatcher
+        self._queries = queries
         self._settings = settings
         self._signer = signer
         self._directory = directory
@@ -135,14 +135,14 @@
         ]
 
     async def health(self, request: requests.Request) -> responses.Response:
-        """Answers 200 while this entry takes calls."""
+        """Answers 200 while this entry accepts calls, else 503."""
         ready = self._settings.complete and not self._directory.leaving
         return responses.PlainTextResponse(
             "ready" if ready else "not ready", 200 if ready else 503
         )
 
     async def addresses(self, request: requests.Request) -> responses.Response:
-        """Tells the caller which entries to use, and for how long."""
+        """Returns the entries to use and how long the list is valid."""
         values = self._settings.tree.effective()
         answer = AddressList(self._addresses(), values.address_lifetime_ms)
         return _json(answer)
@@ -155,9 +155,9 @@
         try:
             caller = caller_requests.read_headers(request, request_id)
             body = await caller_requests.read_body(request)
-            wanted = _decode_token_request(body)
-            service_id = ids.ServiceId(wanted.service)
-            text = await self._issue(service_id, caller.customer_id)
+            token_request = _decode_token_request(body)
+            service_id = ids.ServiceId(token_request.service)
+            text = await self._issue_token(service_id, caller.customer_id)
         except errors.CallError as failure:
             return self._error(failure, request_id)
         values = self._settings.tree.effective(service_id)
@@ -166,13 +166,13 @@
     async def run_outcome(
         self, request: requests.Request
     ) -> responses.Response:
-        """Tells what became of a run token."""
+        """Returns the state of a run token's run and whether it ran."""
         request_id = caller_requests.request_id_of(request)
         try:
             token = self._signer.decode(request.path_params["token"])
         except errors.CallError as error:
             return self._error(error, request_id)
-        status = await self._questions.query(token)
+        status = await self._queries.query(token)
         if status is None:
             failure = errors.CallError(
                 errors.ErrorKind.UPSTREAM_LOST,
@@ -185,7 +185,7 @@
     async def completions(
         self, request: requests.Request
     ) -> responses.Response | answers.StreamedAnswer:
-        """Runs a completion, streamed or whole."""
+        """Runs a completion and answers with a stream or one document."""
         request_id = caller_requests.request_id_of(request)
         try:
             caller = caller_requests.read_headers(request, request_id)
@@ -201,11 +201,11 @@
             return self._error(failure, request_id)
         if streamed:
             headers = {answers.REQUEST_ID_HEADER: str(request_id)}
-            return answers.StreamedAnswer(call, self._owner, headers)
-        return await self._whole_completion(call)
+            return answers.StreamedAnswer(call, self._dispatcher, headers)
+        return await self._completion_response(call)
 
     async def plain(self, request: requests.Request) -> responses.Response:
-        """Passes a call through to a plain service."""
+        """Forwards a request to a plain service."""
         request_id = caller_requests.request_id_of(request)
         service = request.path_params["service"]
         try:
@@ -226,7 +226,7 @@
             return self._error(needed.failure, request_id, needed.text)
         except errors.CallError as failure:
             return self._error(failure, request_id)
-        return await self._whole_body(call)
+        return await self._plain_response(call)
 
     async def _submit(
         self, spec: calls.CallSpec, caller: caller_requests.CallerRequest
@@ -239,20 +239,20 @@
             )
             if values.run_token_required:
                 await self._require_token(spec)
-        return self._owner.submit(spec, None)
+        return self._dispatcher.submit(spec, None)
 
     def _submit_token(
         self, spec: calls.CallSpec, text: str
     ) -> call_module.Call:
         """Submits a call with a run token.
 
-        A refusal here proves nothing about an earlier request with the same
-        token, which another entry may have run.
+        A refusal does not prove that the request did not run: another entry
+        may have run an earlier request with this token.
         """
         try:
             token = self._signer.decode(text)
             self._check_reachable(token)
-            return self._owner.submit(spec, token)
+            return self._dispatcher.submit(spec, token)
         except errors.CallError as error:
             raise errors.CallError(
                 error.kind,
@@ -262,7 +262,7 @@
             ) from error
 
     def _check_reachable(self, token: run_tokens.RunToken) -> None:
-        if self._owner.reaches(ids.VmId(token.vm_id)):
+        if self._dispatcher.reaches(ids.VmId(token.vm_id)):
             return
         elsewhere = self._directory.entries_of(ids.VmId(token.vm_id))
         if elsewhere and not self._directory.is_among(elsewhere):
@@ -275,18 +275,18 @@
         )
 
     async def _require_token(self, spec: calls.CallSpec) -> None:
-        """Refuses a non-idempotent call, with a token to repeat it with."""
-        text = await self._issue(spec.service_id, spec.customer_id)
+        """Refuses a non-idempotent call, with a run token for its retry."""
+        text = await self._issue_token(spec.service_id, spec.customer_id)
         failure = errors.CallError(errors.ErrorKind.RUN_TOKEN_REQUIRED)
         raise _TokenNeededError(failure, text)
 
-    async def _issue(
+    async def _issue_token(
         self, service_id: ids.ServiceId, customer_id: ids.CustomerId
     ) -> str:
-        token = await self._questions.reserve(service_id, customer_id)
+        token = await self._queries.reserve(service_id, customer_id)
         return self._signer.encode(token)
 
-    async def _whole_completion(
+    async def _completion_response(
         self, call: call_module.Call
     ) -> responses.Response:
         try:
@@ -321,7 +321,9 @@
         response.headers[answers.VERSION_HEADER] = version
         return response
 
-    async def _whole_body(self, call: call_module.Call) -> responses.Response:
+    async def _plain_response(
+        self, call: call_module.Call
+    ) -> responses.Response:
         try:
             data = await self._collect(call)
         except errors.CallError as failure:
@@ -339,7 +341,7 @@
             while data := await call.next_data():
                 pieces.append(data)
         finally:
-            self._owner.abandon(call)
+            self._dispatcher.abandon(call)
         return b"".join(pieces)
 
     def _addresses(self) -> list[str]:
@@ -367,8 +369,8 @@
 class _CompletionEndpoint:
     """ASGI endpoint for completions.
 
-    A function would be wrapped by starlette in two layers that every part of
-    a stream passes through.
+    It is a class because starlette wraps a function in two layers, which every
+    part of a stream would pass through.
     """
 
     def __init__(self, app: CallerApp) -> None:
@@ -383,7 +385,7 @@
 
 
 class _TokenNeededError(Exception):
-    """A non-idempotent call came without a run token."""
+    """A non-idempotent call was sent without a run token."""
 
     def __init__(self, failure: errors.CallError, text: str) -> None:
         super().__init__(str(failure))
--- a/src/marlramp/entry/daemon.py
+++ b/src/marlramp/entry/daemon.py
@@ -1,4 +1,4 @@
-"""The entry: one process on each entry VM."""
+"""The entry daemon: one process on each entry VM, on the grants path."""
 
 from __future__ import annotations
 
@@ -44,38 +44,43 @@
 from marlramp.shell import settings_sync
 
 HEARTBEAT_MS = 2_000.0
+"""Interval of heartbeats to an agent while the demand does not change."""
+
 HEARTBEAT_CHANGE_MS = 500.0
-"""A changed demand is told this soon."""
+"""Interval at which the demand is checked and a change is sent to agents."""
 
 TICK_MS = 100.0
+"""Interval of the dispatcher's tick and of the check for lost agents."""
+
 READERS_PER_DATA_CENTRE = 3
 """Entries of a data centre that watch the configuration service."""
 
 LINK_BYTES_MAX = messages.BODY_BYTES_MAX * 2
 CLOSE_GRACE_S = 5
+"""Time that the HTTP server gives open connections when it shuts down."""
 
 
 class _Server(uvicorn.Server):
-    """uvicorn without signal handlers of its own."""
+    """uvicorn server that installs no signal handlers."""
 
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
-        """Leaves signals to the daemon."""
+        """Captures no signals; the daemon handles them."""
         yield
 
 
 class _SentHeartbeat(msgspec.Struct, frozen=True):
-    """The last heartbeat sent to an agent."""
+    """Demand and time of the last heartbeat to an agent."""
 
     demand: int
     at_ms: float
 
 
 class EntryDaemon:
-    """Wires the entry's parts together."""
+    """Creates and runs the components of an entry."""
 
     def __init__(self, settings: process.ProcessSettings) -> None:
-        """Creates all parts; nothing is sent before `run`."""
+        """Creates all components; nothing is sent before `run`."""
         if settings.entry is None:
             raise ValueError("an entry needs [entry] settings")
         self._settings = settings
@@ -93,20 +98,20 @@
             process.document_keys(settings.identity)
         )
         self._table = agent_table.AgentTable(self._settings_of)
-        self._desk = swap.PermitIssuer(self._clock.now_ms())
+        self._permit_issuer = swap.PermitIssuer(self._clock.now_ms())
         self._revisions: dict[ids.VmId, list[int]] = {}
         self._heartbeats: dict[ids.VmId, _SentHeartbeat] = {}
         self._build_shell()
         rng = random.Random()
         self._admission = admission.Admission(self._store, self._table)
-        self._questions = questions.Questions(
+        self._queries = questions.Questions(
             self._entry_id, self._table, self._links, rng
         )
         self._dispatcher = dispatcher.Dispatcher(
             self._store,
             self._table,
             self._admission,
-            self._questions,
+            self._queries,
             self._links,
             self._totals,
             self._clock,
@@ -146,7 +151,7 @@
         self._dispatcher.on_first_part = exporter.first_part.record
         callers = caller_app.CallerApp(
             self._dispatcher,
-            self._questions,
+            self._queries,
             self._store,
             signer,
             self,
@@ -177,11 +182,11 @@
         return _Server(config)
 
     def reload(self, reason: str) -> None:
-        """Logs that process settings take effect at the next start."""
+        """Logs that changed process settings apply only after a restart."""
         logs.log("reload_ignored", reason=reason)
 
     def drain(self, reason: str) -> None:
-        """Leaves the addresses, finishes what runs, then stops."""
+        """Withdraws the address, completes the running calls, then stops."""
         if self._lifecycle.phase is lifecycle.Phase.DRAINING:
             return
         logs.log("draining", reason=reason)
@@ -191,10 +196,10 @@
         self._stopping.set()
 
     async def run(self) -> None:
-        """Runs until drained."""
+        """Runs until the entry has drained."""
         logs.log("entry_started", port=self._entry.http_port)
         async with asyncio.TaskGroup() as group:
-            works: dict[str, Callable[[], Awaitable[None]]] = {
+            tasks_by_name: dict[str, Callable[[], Awaitable[None]]] = {
                 "members": self._members.run,
                 "settings_sync": functools.partial(
                     self._sync.run, reads_without_need=True
@@ -203,10 +208,12 @@
                 "heartbeats": self._heartbeat_all,
                 "entry_ticks": self._tick_all,
             }
-            tasks = safely.start_all(group, works, self._totals, self._clock)
+            tasks = safely.start_all(
+                group, tasks_by_name, self._totals, self._clock
+            )
             server = group.create_task(self._server.serve())
             await self._stopping.wait()
-            await self._leave()
+            await self._wait_for_calls()
             self._server.should_exit = True
             await server
             for task in tasks:
@@ -215,15 +222,15 @@
         self._context.close()
         logs.log("entry_stopped")
 
-    async def _leave(self) -> None:
-        """Waits until no caller holds this address, then until calls end."""
+    async def _wait_for_calls(self) -> None:
+        """Waits until callers' address lists expire, then until calls end."""
         lifetime_ms = self._store.tree.effective().address_lifetime_ms
         await asyncio.sleep(lifetime_ms / clock.MILLIS_PER_SECOND)
         self._admission.draining = True
         while self._dispatcher.active:
             await asyncio.sleep(TICK_MS / clock.MILLIS_PER_SECOND)
 
-    # What the applications ask for.
+    # Interface for the HTTP applications.
 
     @property
     def leaving(self) -> bool:
@@ -231,7 +238,7 @@
         return self._lifecycle.phase is lifecycle.Phase.DRAINING
 
     def entries(self) -> list[clients.ListedVm]:
-        """Returns the entries that callers may use, without a leaving one."""
+        """Returns the live entries, without this one while it shuts down."""
         listed = self._members.find(clients.VmRole.ENTRY)
         return [
             vm
@@ -263,11 +270,11 @@
         return any(vm.vm_id == self._entry_id for vm in entries)
 
     def vms(self) -> list[clients.ListedVm]:
-        """Returns the platform's list as last read."""
+        """Returns the platform's VM list as last read."""
         return list(self._members.vms.values())
 
     def drain_vm(self, vm_id: ids.VmId, reason: str) -> bool:
-        """Has this entry or one of its agents drain; False if unknown."""
+        """Makes this entry or an agent drain; False if it is unreachable."""
         if vm_id == self._entry_id:
             asyncio.get_running_loop().call_later(0.1, self.drain, reason)
             return True
@@ -299,7 +306,7 @@
             case messages.GrantsIssued():
                 self._dispatcher.on_grants(vm_id, message)
             case messages.Reserved() | messages.RunStatus():
-                self._questions.on_reply(message)
+                self._queries.on_reply(message)
             case messages.AgentReport():
                 self._on_report(vm_id, message)
             case messages.AgentHeartbeat():
@@ -311,7 +318,7 @@
             case messages.SwapRequest():
                 self._on_swap_request(link_id, message)
             case messages.SwapWithdrawal():
-                self._desk.release(
+                self._permit_issuer.release(
                     vm_id,
                     ids.Incarnation(link_id.incarnation),
                     message.round_number,
@@ -326,12 +333,12 @@
         restarted = self._table.handle_report(message, self._clock.now_ms())
         if restarted:
             logs.log("agent_restarted", vm=vm_id)
-            self._desk.drop(vm_id)
+            self._permit_issuer.drop(vm_id)
             self._dispatcher.agent_lost(vm_id)
         if message.state is messages.AgentState.READY and (
             message.version == message.target_version
         ):
-            self._desk.drop(vm_id)
+            self._permit_issuer.drop(vm_id)
         self._mark_listed(vm_id)
         if restarted or not known:
             self._send_heartbeat(vm_id)
@@ -373,15 +380,15 @@
         service_id = ids.ServiceId(info.report.service_id)
         values = self._store.tree.effective(service_id)
         now_ms = self._clock.now_ms()
-        question = swap.PermitRequest(
+        permit_request = swap.PermitRequest(
             vm_id,
             service_id,
             ids.Incarnation(link_id.incarnation),
             message.round_number,
             message.hold_ms,
         )
-        granted = self._desk.try_issue(
-            question,
+        granted = self._permit_issuer.try_issue(
+            permit_request,
             self._table.replicas(service_id, now_ms),
             values.swap_out_fraction,
             allow_sole=values.swap_sole_replica,
@@ -399,13 +406,13 @@
         if self._table.get(vm_id) is None:
             return
         logs.log("agent_lost", vm=vm_id)
-        # Its permit ends by time: it may live, and use it.
+        # Its permit stays until it expires: the agent may be alive and use it.
         self._table.remove(vm_id)
         self._revisions.pop(vm_id, None)
         self._heartbeats.pop(vm_id, None)
         self._dispatcher.agent_lost(vm_id)
 
-    # Changes from outside.
+    # Changes of the VM list and the settings.
 
     def _members_changed(self) -> None:
         entries = self._members.find(clients.VmRole.ENTRY)
@@ -443,7 +450,7 @@
         self._send_heartbeats()
 
     def _compare_settings(self, vm_id: ids.VmId) -> None:
-        """Holds work back from an agent whose settings are newer."""
+        """Sends no work to an agent while its settings are newer."""
         info = self._table.get(vm_id)
         if info is None or vm_id not in self._revisions:
             return
@@ -458,7 +465,7 @@
             offer = messages.SettingsOffer(documents=newer)
             self._links.send(vm_id, offer)
 
-    # Regular work.
+    # Periodic work.
 
     async def _heartbeat_all(self) -> None:
         while True:
--- a/src/marlramp/entry/dispatcher.py
+++ b/src/marlramp/entry/dispatcher.py
@@ -1,8 +1,8 @@
-"""Queues, routes, retries and ends calls at one entry.
+"""Queues, routes, retries and ends the calls of one entry.
 
-The dispatcher owns all call state. It is driven by messages from agents, by
-calls from callers' tasks, and by a tick; it sends through an
-`questions.AgentSender`.
+The dispatcher owns the state of all calls. Messages from agents, method calls
+from callers' tasks and a regular tick drive it. It sends messages through an
+`agent_queries.AgentSender`.
 """
 
 from __future__ import annotations
@@ -33,79 +33,84 @@
 from marlramp.settings import store
 
 CANCEL_WAIT_MS = 60.0
-"""Longest wait for the proof that a given-up request did not run."""
+"""Longest wait for an agent's report whether a cancelled request ran."""
 
 
-def _ignore(value: float) -> None:
-    """Takes a measurement that nobody asked for."""
+def _discard(value: float) -> None:
+    """Discards a measurement; the default of `on_first_part`."""
 
 
 class Dispatcher:
-    """All calls of one entry."""
+    """Starts, retries and ends all calls of one entry.
+
+    Attributes:
+      on_first_part: receives the time in milliseconds from the admission of a
+        call to the first part of an attempt's answer.
+    """
 
     def __init__(
         self,
         settings: store.SettingsStore,
         table: agent_table.AgentTable,
         admission: admission_module.Admission,
-        asked: questions.Questions,
+        queries: questions.Questions,
         sender: questions.AgentSender,
         totals: counters.Counters,
         time: clock.Clock,
         rng: random.Random,
     ) -> None:
-        """Starts with no call."""
+        """Starts without calls."""
         self._settings = settings
         self._table = table
         self._admission = admission
-        self._questions = asked
+        self._queries = queries
         self._sender = sender
-        self._watch = run_watch.RunWatch(
-            asked, sender, self._send_again, self._try_failed
+        self._lost_runs = run_watch.RunWatch(
+            queries, sender, self._resend, self._attempt_failed
         )
         self._totals = totals
         self._clock = time
         self._rng = rng
         self._services: dict[ids.ServiceId, service_queue.ServiceQueue] = {}
         self._queued: dict[ids.RequestId, call_module.Call] = {}
-        self._tries: dict[ids.RequestId, call_module.Call] = {}
+        self._attempts: dict[ids.RequestId, call_module.Call] = {}
         self._backing_off: set[call_module.Call] = set()
         self._choosers: dict[schema.Routing, routing.Chooser] = {
             schema.Routing.PREDICTED: routing.choose,
             schema.Routing.RANDOM: routing.choose_random,
             schema.Routing.ROUND_ROBIN: routing.RoundRobin(),
         }
-        self.on_first_part: Callable[[float], None] = _ignore
+        self.on_first_part: Callable[[float], None] = _discard
 
     @property
     def active(self) -> int:
         """Number of calls that have not ended."""
-        return len(self._queued) + len(self._tries) + len(self._backing_off)
+        return len(self._queued) + len(self._attempts) + len(self._backing_off)
 
     def reaches(self, vm_id: ids.VmId) -> bool:
-        """Whether an agent is linked to this entry."""
+        """Returns whether an agent is linked to this entry."""
         return self._table.get(vm_id) is not None
 
     def demand(self, service_id: ids.ServiceId) -> int:
-        """Requests of a service that run or wait here."""
+        """Returns how many requests of a service run or wait at this entry."""
         service = self._services.get(service_id)
         if service is None:
             return 0
         return service.in_flight + len(service.queue)
 
     def queue_lengths(self) -> dict[ids.ServiceId, int]:
-        """Returns the number of waiting calls by service."""
+        """Returns the number of waiting calls of each service."""
         return {
             service_id: len(service.queue)
             for service_id, service in self._services.items()
         }
 
     def settings_changed(self) -> None:
-        """Applies settings that came into force."""
+        """Applies changed settings to the queues of all services."""
         for service_id, service in self._services.items():
             service.configure(self._settings.tree.effective(service_id))
 
-    # Calls from callers' tasks.
+    # Methods for callers' tasks.
 
     def submit(
         self, spec: calls.CallSpec, token: run_tokens.RunToken | None
@@ -113,7 +118,7 @@
         """Admits a call and starts or queues it.
 
         Raises:
-          errors.CallError: if it is refused; nothing was run then.
+          errors.CallError: if the call is refused; nothing has run.
         """
         now_ms = self._clock.now_ms()
         try:
@@ -133,7 +138,7 @@
             spec, values.retries_max, float(values.retry_backoff_ms)
         )
         waiting = queueing.WaitingRequest(
-            self._questions.new_id(),
+            self._queries.new_id(),
             spec.customer_id,
             spec.service_id,
             spec.priority,
@@ -143,19 +148,19 @@
         call = call_module.Call(state, waiting, token, now_ms)
         service.budget.record_request()
         if token is not None:
-            self._start_token_run(call, token)
+            self._start_token_attempt(call, token)
         else:
             self._enqueue(call, service)
             self.dispatch(spec.service_id)
         return call
 
     def abandon(self, call: call_module.Call) -> None:
-        """Ends a call whose caller has gone away."""
+        """Cancels a call whose caller has disconnected."""
         if call.ended:
             return
-        self._forget(call)
+        self._remove(call)
         if call.grant is not None and call.token is None:
-            self._send_cancel(call, self._questions.new_id(), stop=True)
+            self._send_cancel(call, self._queries.new_id(), stop=True)
         self._count_refusal(errors.CallError(errors.ErrorKind.CANCELLED))
         call.end(errors.CallError(errors.ErrorKind.CANCELLED))
 
@@ -164,7 +169,7 @@
     def on_grants(
         self, vm_id: ids.VmId, message: messages.GrantsIssued
     ) -> None:
-        """Takes grants and starts waiting calls."""
+        """Adds an agent's grants to the pool and starts waiting calls."""
         now_ms = self._clock.now_ms()
         self._table.grant_pool.add(
             vm_id,
@@ -180,18 +185,18 @@
             self.dispatch(ids.ServiceId(info.report.service_id))
 
     def on_headers(self, message: messages.RunHeaders) -> None:
-        """Takes the status and type of an answer."""
-        call = self._tries.get(ids.RequestId(message.request_id))
+        """Records the HTTP status and the media type of an answer."""
+        call = self._attempts.get(ids.RequestId(message.request_id))
         if call is not None and call.status is None:
             call.status = message.status
             call.content_type = message.content_type
             call.progress_ms = self._clock.now_ms()
 
     def on_parts(self, batch: messages.PartsBatch) -> None:
-        """Takes parts of many answers."""
+        """Delivers a batch of parts, which may belong to several answers."""
         now_ms = self._clock.now_ms()
         for answer in batch.answers:
-            call = self._tries.get(ids.RequestId(answer.request_id))
+            call = self._attempts.get(ids.RequestId(answer.request_id))
             if call is None:
                 continue
             call.progress_ms = now_ms
@@ -201,14 +206,14 @@
                 for part in answer.parts:
                     call.deliver(call.state.assembly.add(part))
             except errors.CallError as error:
-                self._try_failed(call, error)
+                self._attempt_failed(call, error)
                 continue
             if call.state.assembly.complete:
                 self._succeed(call)
 
     def on_ended(self, message: messages.RunEnded) -> None:
-        """Takes the end of a run whose answer is not whole yet."""
-        call = self._tries.get(ids.RequestId(message.request_id))
+        """Fails an attempt whose run ended before its answer was complete."""
+        call = self._attempts.get(ids.RequestId(message.request_id))
         if call is None:
             return
         failure = errors.CallError(errors.ErrorKind.ANSWER_INCOMPLETE)
@@ -216,26 +221,26 @@
             failure = errors.CallError(
                 message.kind, message.detail, ran=message.ran
             )
-        self._try_failed(call, failure)
+        self._attempt_failed(call, failure)
 
     def agent_lost(self, vm_id: ids.VmId) -> None:
-        """Fails the tries that ran at an agent that is gone."""
-        for call in list(self._tries.values()):
+        """Fails the attempts at an agent that is lost or has restarted."""
+        for call in list(self._attempts.values()):
             if call.grant is not None and call.grant.vm_id == vm_id:
-                self._try_failed(call, self._lost(call))
+                self._attempt_failed(call, self._lost_error(call))
 
-    def _lost(self, call: call_module.Call) -> errors.CallError:
-        """Returns the failure of a try whose agent is gone."""
-        # Another entry may have run the same token, so that not having sent
-        # it proves nothing.
+    def _lost_error(self, call: call_module.Call) -> errors.CallError:
+        """Returns the failure of an attempt whose agent is unreachable."""
+        # Another entry may have sent a run with the same token, so an unsent
+        # run token does not prove that the request did not run.
         unsent = not call.sent and call.token is None
         ran = errors.Ran.NO if unsent else errors.Ran.UNKNOWN
         return errors.CallError(errors.ErrorKind.UPSTREAM_LOST, ran=ran)
 
-    # Regular work.
+    # Periodic work.
 
     def tick(self) -> None:
-        """Ends late calls and starts waiting ones."""
+        """Ends calls past their deadline and starts waiting calls."""
         now_ms = self._clock.now_ms()
         for service_id, service in self._services.items():
             for waiting in service.queue.pop_expired(now_ms):
@@ -249,11 +254,11 @@
                     ),
                 )
             self.dispatch(service_id)
-        for call in list(self._tries.values()):
+        for call in list(self._attempts.values()):
             self._check_progress(call, now_ms)
 
     def dispatch(self, service_id: ids.ServiceId) -> None:
-        """Starts waiting calls of a service while grants last."""
+        """Starts waiting calls of a service while grants are available."""
         service = self._services.get(service_id)
         if service is None:
             return
@@ -276,7 +281,7 @@
                 )
                 continue
             grant = self._choose_grant(call, now_ms)
-            if grant is None and self._version_gone(call):
+            if grant is None and self._is_version_unavailable(call):
                 del self._queued[waiting.request_id]
                 self._fail(
                     call, errors.CallError(errors.ErrorKind.VERSION_CHANGED)
@@ -286,7 +291,7 @@
                 service.queue.push_front(waiting)
                 return
             del self._queued[waiting.request_id]
-            self._start(call, grant)
+            self._start_attempt(call, grant)
 
     # Queue.
 
@@ -308,7 +313,7 @@
             )
             self._fail(evicted, error)
 
-    # Tries.
+    # Attempts.
 
     def _choose_grant(
         self, call: call_module.Call, now_ms: clock.Millis
@@ -327,26 +332,26 @@
             return None
         return self._table.grant_pool.use(chosen.vm_id, now_ms)
 
-    def _version_gone(self, call: call_module.Call) -> bool:
-        """Returns whether a stream cannot be resumed on its version."""
+    def _is_version_unavailable(self, call: call_module.Call) -> bool:
+        """Returns whether no agent serves the version that a stream needs."""
         needed = call.state.needed_version
         return needed != "" and not any(
             info.report.version == needed
             for info in self._table.serving(call.spec.service_id)
         )
 
-    def _start(
+    def _start_attempt(
         self, call: call_module.Call, grant: grant_pool.HeldGrant
     ) -> None:
         now_ms = self._clock.now_ms()
         call.grant = grant
-        call.try_id = self._questions.new_id()
+        call.attempt_id = self._queries.new_id()
         call.started_ms = now_ms
         call.progress_ms = now_ms
-        call.asked_ms = now_ms
+        call.queried_ms = now_ms
         call.first_part_ms = None
         call.state.attempts += 1
-        self._tries[call.try_id] = call
+        self._attempts[call.attempt_id] = call
         info = self._table.get(grant.vm_id)
         if info is not None:
             info.in_flight += 1
@@ -356,9 +361,9 @@
         if self._sender.send(grant.vm_id, self._run_message(call, grant)):
             call.sent = True
             return
-        self._try_failed(call, self._lost(call))
+        self._attempt_failed(call, self._lost_error(call))
 
-    def _start_token_run(
+    def _start_token_attempt(
         self, call: call_module.Call, token: run_tokens.RunToken
     ) -> None:
         grant = grant_pool.HeldGrant(
@@ -367,14 +372,14 @@
             ids.GrantNumber(token.number),
             call.spec.deadline_ms,
         )
-        self._start(call, grant)
+        self._start_attempt(call, grant)
 
     def _run_message(
         self, call: call_module.Call, grant: grant_pool.HeldGrant
     ) -> messages.Run:
         spec = call.spec
         return messages.Run(
-            request_id=call.try_id,
+            request_id=call.attempt_id,
             incarnation=grant.incarnation,
             number=grant.number,
             method=spec.method,
@@ -391,17 +396,17 @@
             idempotent=spec.idempotent,
         )
 
-    def _try_failed(
+    def _attempt_failed(
         self, call: call_module.Call, failure: errors.CallError
     ) -> None:
-        """Retries a failed try if that is safe, else ends the call."""
+        """Retries a failed attempt if that is safe, else fails the call."""
         grant = call.grant
         self._release(call)
         if grant is None:
             return
         self._record_failure(grant.vm_id, failure)
         if call.token is not None:
-            self._token_try_failed(call, failure)
+            self._token_attempt_failed(call, failure)
             return
         service = self._service(call.spec.service_id)
         now_ms = self._clock.now_ms()
@@ -412,12 +417,12 @@
             self._fail(call, step)
             return
         self._totals.add(counters.CounterName.RETRIES, step.reason.value)
-        self._retry_later(call, step.delay_ms)
+        self._schedule_retry(call, step.delay_ms)
 
-    def _token_try_failed(
+    def _token_attempt_failed(
         self, call: call_module.Call, failure: errors.CallError
     ) -> None:
-        """Tries a run token again at the same agent while it is busy."""
+        """Retries a run token if its agent was busy, else fails the call."""
         busy = failure.kind is errors.ErrorKind.UPSTREAM_BUSY
         if not busy or failure.ran is not errors.Ran.NO:
             self._fail(call, failure)
@@ -428,9 +433,9 @@
             return
         reason = retries.RetryReason.UPSTREAM_BUSY
         self._totals.add(counters.CounterName.RETRIES, reason.value)
-        self._retry_later(call, delay_ms)
+        self._schedule_retry(call, delay_ms)
 
-    def _retry_later(self, call: call_module.Call, delay_ms: float) -> None:
+    def _schedule_retry(self, call: call_module.Call, delay_ms: float) -> None:
         self._backing_off.add(call)
         asyncio.get_running_loop().call_later(
             delay_ms / clock.MILLIS_PER_SECOND, self._retry, call
@@ -441,7 +446,7 @@
         if call.ended:
             return
         if call.token is not None:
-            self._start_token_run(call, call.token)
+            self._start_token_attempt(call, call.token)
             return
         service = self._service(call.spec.service_id)
         self._enqueue(call, service)
@@ -472,17 +477,17 @@
     def _check_progress(
         self, call: call_module.Call, now_ms: clock.Millis
     ) -> None:
-        """Gives up a try that is late, or a call past its deadline."""
+        """Expires a call past its deadline and fails a stalled attempt."""
         if now_ms >= call.spec.deadline_ms:
-            self._give_up(call)
+            self._expire(call)
             return
-        self._watch.look(call, now_ms)
+        self._lost_runs.look(call, now_ms)
         if call.first_part_ms is None or not call.spec.stream:
             return
         values = self._settings.tree.effective(call.spec.service_id)
         if now_ms - call.progress_ms > values.part_timeout_ms:
-            self._send_cancel(call, self._questions.new_id(), stop=True)
-            self._try_failed(
+            self._send_cancel(call, self._queries.new_id(), stop=True)
+            self._attempt_failed(
                 call,
                 errors.CallError(
                     errors.ErrorKind.ANSWER_INCOMPLETE,
@@ -490,16 +495,16 @@
                 ),
             )
 
-    def _send_again(self, call: call_module.Call) -> None:
-        """Sends the run of a call's current try once more."""
+    def _resend(self, call: call_module.Call) -> None:
+        """Sends the run of a call's current attempt again."""
         if call.grant is not None:
             vm_id = call.grant.vm_id
             logs.log("run_sent_again", call=call.spec.call_id, vm=vm_id)
             self._sender.send(vm_id, self._run_message(call, call.grant))
 
-    def _give_up(self, call: call_module.Call) -> None:
-        """Cancels a late run and tells the caller whether it ran."""
-        request_id = self._questions.new_id()
+    def _expire(self, call: call_module.Call) -> None:
+        """Cancels a call past its deadline and reports whether it ran."""
+        request_id = self._queries.new_id()
         self._send_cancel(call, request_id, stop=call.token is None)
         started = call.state.resume_from > 0
         self._release(call)
@@ -515,7 +520,7 @@
     async def _end_after_cancel(
         self, call: call_module.Call, request_id: ids.RequestId
     ) -> None:
-        reply = await self._questions.reply(request_id, CANCEL_WAIT_MS)
+        reply = await self._queries.reply(request_id, CANCEL_WAIT_MS)
         ran = errors.Ran.UNKNOWN
         if isinstance(reply, messages.RunStatus):
             ran = reply.ran
@@ -537,7 +542,7 @@
         )
         self._sender.send(call.grant.vm_id, cancel)
 
-    # Ends.
+    # Ends of calls.
 
     def _succeed(self, call: call_module.Call) -> None:
         now_ms = self._clock.now_ms()
@@ -569,8 +574,8 @@
         call.end(failure)
 
     def _release(self, call: call_module.Call) -> None:
-        """Ends the current try, keeping the call."""
-        if self._tries.pop(call.try_id, None) is None:
+        """Ends the current attempt without ending the call."""
+        if self._attempts.pop(call.attempt_id, None) is None:
             return
         info = self._agent_of(call)
         if info is not None:
@@ -579,12 +584,12 @@
         service.in_flight -= 1
         call.grant = None
 
-    def _forget(self, call: call_module.Call) -> None:
-        """Removes a call from the queue or from the running tries."""
+    def _remove(self, call: call_module.Call) -> None:
+        """Removes a call from the queue or from the running attempts."""
         if self._queued.pop(call.waiting.request_id, None) is not None:
             service = self._service(call.spec.service_id)
             service.queue.remove(call.waiting)
-        if call.try_id in self._tries:
+        if call.attempt_id in self._attempts:
             grant = call.grant
             self._release(call)
             call.grant = grant
--- a/src/marlramp/entry/metrics.py
+++ b/src/marlramp/entry/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics by OpenTelemetry, readable by Prometheus at /metrics."""
+"""Exports an entry's OpenTelemetry metrics to Prometheus at /metrics."""
 
 from __future__ import annotations
 
@@ -22,18 +22,22 @@
 
 
 class MetricsExporter:
-    """Exports this entry's counters and those of its agents."""
+    """Exports the counters of this entry and of its agents.
+
+    Attributes:
+      first_part: histogram of the time to the first part, in milliseconds.
+    """
 
     def __init__(
         self,
         totals: counters.Counters,
         table: agent_table.AgentTable,
-        owner: dispatcher.Dispatcher,
+        call_dispatcher: dispatcher.Dispatcher,
     ) -> None:
-        """Registers all instruments with a reader of their own."""
+        """Registers all instruments with a separate reader."""
         self._totals = totals
         self._table = table
-        self._owner = owner
+        self._dispatcher = call_dispatcher
         reader = otel_prometheus.PrometheusMetricReader()
         provider = otel_sdk.MeterProvider(metric_readers=[reader])
         meter = provider.get_meter("marlramp")
@@ -52,11 +56,11 @@
         )
 
     def routes(self) -> list[routing.Route]:
-        """Returns the route that Prometheus reads."""
+        """Returns the route that Prometheus scrapes."""
         return [routing.Route("/metrics", self.read)]
 
     async def read(self, request: requests.Request) -> responses.Response:
-        """Answers in the Prometheus text format."""
+        """Returns all metrics in the Prometheus text format."""
         return responses.Response(
             prometheus_client.generate_latest(),
             media_type="text/plain; version=0.0.4",
@@ -89,7 +93,7 @@
     def _queue_lengths(
         self, _: otel.CallbackOptions
     ) -> Iterable[otel.Observation]:
-        for service_id, length in self._owner.queue_lengths().items():
+        for service_id, length in self._dispatcher.queue_lengths().items():
             yield otel.Observation(length, {"service": service_id})
 
     def _agents_ready(
--- a/src/marlramp/entry/questions.py
+++ b/src/marlramp/entry/questions.py
@@ -1,4 +1,4 @@
-"""Questions that an entry asks agents, and their answers."""
+"""Queries from an entry to agents, matched with the replies."""
 
 from __future__ import annotations
 
@@ -16,7 +16,10 @@
 from marlramp.protocol import messages
 
 ANSWER_WAIT_MS = 500.0
+"""Time to wait for an agent's reply to a query."""
+
 RESERVE_TRIES = 3
+"""Most agents that are requested to reserve a grant for one run token."""
 
 Reply: TypeAlias = messages.Reserved | messages.RunStatus
 
@@ -25,12 +28,12 @@
     """Sends messages to agents."""
 
     def send(self, vm_id: ids.VmId, message: messages.FromEntry) -> bool:
-        """Sends a message; returns False if the agent cannot be reached."""
+        """Sends a message; returns False if the agent is unreachable."""
         ...
 
 
 class Questions:
-    """Matches answers to questions by request id."""
+    """Sends queries to agents and matches the replies by request id."""
 
     def __init__(
         self,
@@ -39,46 +42,49 @@
         sender: AgentSender,
         rng: random.Random,
     ) -> None:
-        """Starts with no question open."""
+        """Starts without pending queries."""
         self._entry_id = entry_id
         self._table = table
         self._sender = sender
         self._rng = rng
         self._numbers = itertools.count(1)
-        self._open: dict[ids.RequestId, asyncio.Future[Reply]] = {}
+        self._pending: dict[ids.RequestId, asyncio.Future[Reply]] = {}
 
     def new_id(self) -> ids.RequestId:
-        """Returns an id that this entry has not used."""
+        """Returns a request id that this entry has not used before."""
         return ids.RequestId(f"{self._entry_id}.{next(self._numbers)}")
 
     def on_reply(self, message: Reply) -> None:
-        """Takes the answer to a question."""
-        future = self._open.pop(ids.RequestId(message.request_id), None)
+        """Passes a reply to the waiting task; ignores a late reply."""
+        future = self._pending.pop(ids.RequestId(message.request_id), None)
         if future is not None and not future.done():
             future.set_result(message)
 
     async def reply(
         self, request_id: ids.RequestId, wait_ms: float
     ) -> Reply | None:
-        """Waits for an answer; returns None when there is none in time."""
+        """Waits for the reply to a query; returns None after `wait_ms`."""
         future: asyncio.Future[Reply]
         future = asyncio.get_running_loop().create_future()
-        self._open[request_id] = future
+        self._pending[request_id] = future
         try:
             async with asyncio.timeout(wait_ms / clock.MILLIS_PER_SECOND):
                 return await future
         except TimeoutError:
             return None
         finally:
-            self._open.pop(request_id, None)
+            self._pending.pop(request_id, None)
 
     async def reserve(
         self, service_id: ids.ServiceId, customer_id: ids.CustomerId
     ) -> run_tokens.RunToken:
-        """Reserves a grant for a run token.
+        """Reserves a grant at an agent and returns a run token for it.
+
+        Agents with the fewest attempts in flight are queried first.
 
         Raises:
-          errors.CallError: if no agent of the service answers.
+          errors.CallError: if no agent serves the service, or none of the
+            queried agents reserves a grant.
         """
         agents = self._table.serving(service_id)
         if not agents:
@@ -88,7 +94,7 @@
         for info in agents[:RESERVE_TRIES]:
             request_id = self.new_id()
             question = messages.Reserve(request_id=request_id)
-            answer = await self._ask(info.vm_id, request_id, question)
+            answer = await self._request(info.vm_id, request_id, question)
             if isinstance(answer, messages.Reserved) and answer.number:
                 return run_tokens.RunToken(
                     info.vm_id,
@@ -102,17 +108,19 @@
     async def query(
         self, token: run_tokens.RunToken
     ) -> messages.RunStatus | None:
-        """Returns what became of a run token, None if the agent is silent."""
+        """Returns the state of a run token's run, None without a reply."""
         request_id = self.new_id()
         question = messages.RunQuery(
             request_id=request_id,
             incarnation=token.incarnation,
             number=token.number,
         )
-        answer = await self._ask(ids.VmId(token.vm_id), request_id, question)
+        answer = await self._request(
+            ids.VmId(token.vm_id), request_id, question
+        )
         return answer if isinstance(answer, messages.RunStatus) else None
 
-    async def _ask(
+    async def _request(
         self,
         vm_id: ids.VmId,
         request_id: ids.RequestId,
--- a/src/marlramp/entry/requests.py
+++ b/src/marlramp/entry/requests.py
@@ -1,4 +1,4 @@
-"""Reads callers' HTTP requests into call specifications."""
+"""Parses callers' HTTP requests into call specifications."""
 
 from __future__ import annotations
 
@@ -38,9 +38,9 @@
     """The fields of a completion request that the entry reads.
 
     Attributes:
-      model: names the service.
-      prompt: the prompt.
-      max_tokens: most tokens to generate.
+      model: id of the service.
+      prompt: the prompt; only a text has a prefix digest.
+      max_tokens: largest number of tokens to generate.
       stream: whether the answer is streamed.
     """
 
@@ -51,15 +51,15 @@
 
 
 class CallerRequest(msgspec.Struct, frozen=True):
-    """What the headers of a request say.
+    """Values from the headers of a caller's request.
 
     Attributes:
-      request_id: the caller's id, or one made up.
+      request_id: the caller's request id, or a generated one.
       customer_id: the customer.
-      priority: its priority.
-      timeout_ms: its deadline from now, None for the default.
-      idempotent: whether it may be repeated, None for the default.
-      run_token: the run token it carries, empty for none.
+      priority: priority of the request.
+      timeout_ms: time until the deadline, None for the default.
+      idempotent: whether the request may be repeated, None for the default.
+      run_token: the run token of the request, empty for none.
     """
 
     request_id: ids.RequestId
@@ -71,7 +71,7 @@
 
 
 def request_id_of(request: requests.Request) -> ids.RequestId:
-    """Returns the caller's request id, or a new one."""
+    """Returns the caller's request id, or a new one if it has no valid id."""
     given = request.headers.get(answers.REQUEST_ID_HEADER, "")
     if _REQUEST_ID.match(given):
         return ids.RequestId(given)
@@ -81,10 +81,10 @@
 def read_headers(
     request: requests.Request, request_id: ids.RequestId
 ) -> CallerRequest:
-    """Returns what the headers say.
+    """Returns the values of the headers.
 
     Raises:
-      errors.CallError: if a header has an impossible value.
+      errors.CallError: if the customer is missing or a value is invalid.
     """
     headers = request.headers
     customer = headers.get(CUSTOMER_HEADER, "")
@@ -101,10 +101,10 @@
 
 
 async def read_body(request: requests.Request) -> bytes:
-    """Returns the request's body.
+    """Returns the body of a request.
 
     Raises:
-      errors.CallError: if it is larger than a message may carry.
+      errors.CallError: if the body exceeds `messages.BODY_BYTES_MAX`.
     """
     declared = request.headers.get("content-length", "0")
     if declared.isdigit() and int(declared) > messages.BODY_BYTES_MAX:
@@ -187,7 +187,10 @@
 
 
 def prefix_digest(prompt: str | list[object]) -> str:
-    """Returns the digest under which an engine reports a cached prefix."""
+    """Returns the digest by which engines report the cached start of a prompt.
+
+    It is empty for a prompt that is not a text.
+    """
     if not isinstance(prompt, str):
         return ""
     return manifest.digest_of(prompt[:PREFIX_CHARACTERS].encode())[:16]
--- a/src/marlramp/entry/run_watch.py
+++ b/src/marlramp/entry/run_watch.py
@@ -1,7 +1,8 @@
-"""Asks agents about runs that give no sign.
+"""Detects runs whose request or answer was lost on the link to the agent.
 
-A link that breaks, as when a VM was suspended, loses what was sent on it; the
-entry would wait for the deadline of the call.
+A link that breaks, for example because a VM was suspended, loses the messages
+that were sent on it. Without a query the entry would wait until the deadline of
+the call.
 """
 
 from __future__ import annotations
@@ -18,67 +19,68 @@
 from marlramp.protocol import messages
 
 SILENT_RUN_MS = 1_000.0
-"""Time without a sign of a run after which its agent is asked about it."""
+"""Time without any message about a run after which its agent is queried."""
 
 _ENDED_STATES = frozenset({grants.RunState.SUCCEEDED, grants.RunState.FAILED})
 
 
 class RunWatch:
-    """Finds runs that their links have lost."""
+    """Queries agents about silent runs, and resends or fails lost ones."""
 
     def __init__(
         self,
-        asked: questions.Questions,
+        queries: questions.Questions,
         sender: questions.AgentSender,
-        send_again: Callable[[call_module.Call], None],
-        fail_try: Callable[[call_module.Call, errors.CallError], None],
+        resend: Callable[[call_module.Call], None],
+        fail_attempt: Callable[[call_module.Call, errors.CallError], None],
     ) -> None:
-        """Asks nothing before `look`.
+        """Sends no query before `check` is called.
 
         Args:
-          asked: matches answers to questions.
-          sender: sends questions.
-          send_again: sends the run of a call's current try once more.
-          fail_try: ends the current try of a call.
+          queries: matches replies to queries.
+          sender: sends queries to agents.
+          resend: sends the run of a call's current attempt again.
+          fail_attempt: fails the current attempt of a call.
         """
-        self._questions = asked
+        self._queries = queries
         self._sender = sender
-        self._send_again = send_again
-        self._fail_try = fail_try
+        self._resend = resend
+        self._fail_attempt = fail_attempt
 
     def look(self, call: call_module.Call, now_ms: clock.Millis) -> None:
-        """Asks about a current try that has been silent for too long."""
-        begun = call.status is not None or call.first_part_ms is not None
-        silent_ms = now_ms - call.asked_ms
-        if begun or call.grant is None or silent_ms < SILENT_RUN_MS:
+        """Queries the agent if the current attempt is silent for too long."""
+        answering = call.status is not None or call.first_part_ms is not None
+        silent_ms = now_ms - call.queried_ms
+        if answering or call.grant is None or silent_ms < SILENT_RUN_MS:
             return
-        call.asked_ms = now_ms
-        question = messages.RunQuery(
-            request_id=self._questions.new_id(),
+        call.queried_ms = now_ms
+        query = messages.RunQuery(
+            request_id=self._queries.new_id(),
             incarnation=call.grant.incarnation,
             number=call.grant.number,
         )
-        if self._sender.send(call.grant.vm_id, question):
-            task = asyncio.create_task(self._judge(call, question))
+        if self._sender.send(call.grant.vm_id, query):
+            task = asyncio.create_task(self._handle_status(call, query))
             task.add_done_callback(lambda done: done.exception())
 
-    async def _judge(
-        self, call: call_module.Call, question: messages.RunQuery
+    async def _handle_status(
+        self, call: call_module.Call, query: messages.RunQuery
     ) -> None:
-        try_id = call.try_id
-        reply = await self._questions.reply(
-            ids.RequestId(question.request_id), questions.ANSWER_WAIT_MS
+        attempt_id = call.attempt_id
+        reply = await self._queries.reply(
+            ids.RequestId(query.request_id), questions.ANSWER_WAIT_MS
         )
-        gone = call.grant is None or call.try_id != try_id
-        if gone or call.status is not None:
+        superseded = call.grant is None or call.attempt_id != attempt_id
+        if superseded or call.status is not None:
             return
         if not isinstance(reply, messages.RunStatus):
             return
         not_started = reply.state is grants.RunState.NOT_STARTED
         answer_lost = reply.state in _ENDED_STATES
         if not_started or (answer_lost and call.token is not None):
-            # A grant starts one run only, and a token's answer is kept.
-            self._send_again(call)
+            # A resend is safe: a grant starts one run only, and the agent
+            # keeps the answer of a run token.
+            self._resend(call)
         elif reply.state is not grants.RunState.RUNNING:
             kind = errors.ErrorKind.UPSTREAM_LOST
-            self._fail_try(call, errors.CallError(kind, ran=reply.ran))
+            self._fail_attempt(call, errors.CallError(kind, ran=reply.ran))
--- a/src/marlramp/entry/service_queue.py
+++ b/src/marlramp/entry/service_queue.py
@@ -1,4 +1,4 @@
-"""What an entry keeps for each service."""
+"""State that an entry keeps for each service."""
 
 from __future__ import annotations
 
@@ -8,13 +8,21 @@
 from marlramp.settings import schema
 
 RETRY_BUDGET_BURST = 20.0
+"""Retries of a service that an entry may send at once, beyond the ratio."""
 
 
 class ServiceQueue:
-    """Queue, retry budget and pace of one service at this entry."""
+    """Queue, retry budget and run durations of one service at this entry.
+
+    Attributes:
+      queue: requests that wait for a grant.
+      retry_budget: limits retries to a ratio of the requests.
+      run_duration: estimates how long a run takes from completed runs.
+      in_flight: number of attempts that run now.
+    """
 
     def __init__(self, values: schema.Settings) -> None:
-        """Starts empty."""
+        """Starts with an empty queue."""
         self.queue = queueing.FairQueue(values.queue_length_max)
         self.budget = retries.RetryBudget(
             values.retry_ratio, RETRY_BUDGET_BURST
@@ -23,6 +31,6 @@
         self.in_flight = 0
 
     def configure(self, values: schema.Settings) -> None:
-        """Applies settings that came into force."""
+        """Applies changed settings to the queue and the retry budget."""
         self.queue.length_max = values.queue_length_max
         self.budget.ratio = values.retry_ratio
--- a/tests/entry/test_run_watch.py
+++ b/tests/entry/test_run_watch.py
@@ -1,4 +1,4 @@
-"""Calls whose run never reached its agent."""
+"""Detection of runs whose messages were lost on the link to the agent."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class Agent:
-    """An agent as an entry's link sees it; keeps what was sent."""
+    """Fake sender that records the messages to an agent."""
 
     def __init__(self) -> None:
         self.sent: list[messages.FromEntry] = []
@@ -52,7 +52,7 @@
 
 
 class Entry:
-    """A dispatcher with one call under way at one agent."""
+    """A dispatcher with one call in progress at one agent."""
 
     def __init__(self) -> None:
         self.time = clock.ManualClock()
@@ -103,13 +103,13 @@
         self.call = self.dispatcher.submit(spec, TOKEN)
 
     async def pass_silence(self) -> None:
-        """Lets the time pass after which an agent is asked."""
+        """Advances the clock until the agent is queried, and ticks once."""
         self.time.advance(run_watch.SILENT_RUN_MS)
         self.dispatcher.tick()
         await asyncio.sleep(0)
 
     async def answer(self, state: grants.RunState) -> None:
-        """Has the agent tell what became of the run."""
+        """Replies to the latest query with a state of the run."""
         question = self.agent.asked()[-1]
         self.questions.on_reply(
             messages.RunStatus(request_id=question.request_id, state=state)
@@ -129,7 +129,7 @@
     "state", [grants.RunState.NOT_STARTED, grants.RunState.SUCCEEDED]
 )
 def test_run_that_a_link_lost_is_sent_again(state: grants.RunState) -> None:
-    """An entry that was suspended waited for its deadline."""
+    """After a suspension of its VM an entry waited for the call's deadline."""
 
     async def use(entry: Entry) -> None:
         assert len(entry.agent.runs()) == 1
