--- a/src/marlramp/entry/questions.py
+++ b/src/marlramp/entry/agent_queries.py
@@ -15,10 +15,10 @@
 from marlramp.core import run_tokens
 from marlramp.protocol import messages
 
-ANSWER_WAIT_MS = 500.0
+REPLY_TIMEOUT_MS = 500.0
 """Time to wait for an agent's reply to a query."""
 
-RESERVE_TRIES = 3
+RESERVE_AGENTS_MAX = 3
 """Most agents that are requested to reserve a grant for one run token."""
 
 Reply: TypeAlias = messages.Reserved | messages.RunStatus
@@ -32,7 +32,7 @@
         ...
 
 
-class Questions:
+class AgentQueries:
     """Sends queries to agents and matches the replies by request id."""
 
     def __init__(
@@ -54,13 +54,13 @@
         """Returns a request id that this entry has not used before."""
         return ids.RequestId(f"{self._entry_id}.{next(self._numbers)}")
 
-    def on_reply(self, message: Reply) -> None:
+    def handle_reply(self, message: Reply) -> None:
         """Passes a reply to the waiting task; ignores a late reply."""
         future = self._pending.pop(ids.RequestId(message.request_id), None)
         if future is not None and not future.done():
             future.set_result(message)
 
-    async def reply(
+    async def wait_for_reply(
         self, request_id: ids.RequestId, wait_ms: float
     ) -> Reply | None:
         """Waits for the reply to a query; returns None after `wait_ms`."""
@@ -91,41 +91,39 @@
             raise errors.CallError(errors.ErrorKind.NO_UPSTREAM)
         self._rng.shuffle(agents)
         agents.sort(key=lambda info: info.in_flight)
-        for info in agents[:RESERVE_TRIES]:
+        for info in agents[:RESERVE_AGENTS_MAX]:
             request_id = self.new_id()
-            question = messages.Reserve(request_id=request_id)
-            answer = await self._request(info.vm_id, request_id, question)
-            if isinstance(answer, messages.Reserved) and answer.number:
+            query = messages.Reserve(request_id=request_id)
+            reply = await self._request(info.vm_id, request_id, query)
+            if isinstance(reply, messages.Reserved) and reply.number:
                 return run_tokens.RunToken(
                     info.vm_id,
-                    answer.incarnation,
-                    answer.number,
+                    reply.incarnation,
+                    reply.number,
                     service_id,
                     customer_id,
                 )
         raise errors.CallError(errors.ErrorKind.UPSTREAM_BUSY)
 
-    async def query(
+    async def query_run(
         self, token: run_tokens.RunToken
     ) -> messages.RunStatus | None:
         """Returns the state of a run token's run, None without a reply."""
         request_id = self.new_id()
-        question = messages.RunQuery(
+        query = messages.RunQuery(
             request_id=request_id,
             incarnation=token.incarnation,
             number=token.number,
         )
-        answer = await self._request(
-            ids.VmId(token.vm_id), request_id, question
-        )
-        return answer if isinstance(answer, messages.RunStatus) else None
+        reply = await self._request(ids.VmId(token.vm_id), request_id, query)
+        return reply if isinstance(reply, messages.RunStatus) else None
 
     async def _request(
         self,
         vm_id: ids.VmId,
         request_id: ids.RequestId,
-        question: messages.Reserve | messages.RunQuery,
+        query: messages.Reserve | messages.RunQuery,
     ) -> Reply | None:
-        if not self._sender.send(vm_id, question):
+        if not self._sender.send(vm_id, query):
             return None
-        return await self.reply(request_id, ANSWER_WAIT_MS)
+        return await self.wait_for_reply(request_id, REPLY_TIMEOUT_MS)
--- a/src/marlramp/entry/caller_app.py
+++ b/src/marlramp/entry/caller_app.py
@@ -23,9 +23,9 @@
 if TYPE_CHECKING:
     from starlette import types
 
+    from marlramp.entry import agent_queries
     from marlramp.entry import call as call_module
     from marlramp.entry import dispatcher
-    from marlramp.entry import questions
     from marlramp.platform import clients
     from marlramp.settings import store
 
@@ -99,7 +99,7 @@
     def __init__(
         self,
         call_dispatcher: dispatcher.Dispatcher,
-        queries: questions.Questions,
+        queries: agent_queries.AgentQueries,
         settings: store.SettingsStore,
         signer: run_tokens.TokenSigner,
         directory: EntryDirectory,
@@ -172,7 +172,7 @@
             token = self._signer.decode(request.path_params["token"])
         except errors.CallError as error:
             return self._error(error, request_id)
-        status = await self._queries.query(token)
+        status = await self._queries.query_run(token)
         if status is None:
             failure = errors.CallError(
                 errors.ErrorKind.UPSTREAM_LOST,
--- a/src/marlramp/entry/daemon.py
+++ b/src/marlramp/entry/daemon.py
@@ -26,11 +26,11 @@
 from marlramp.entry import admin_app
 from marlramp.entry import admission
 from marlramp.entry import agent_links
+from marlramp.entry import agent_queries
 from marlramp.entry import application
 from marlramp.entry import caller_app
 from marlramp.entry import dispatcher
 from marlramp.entry import metrics
-from marlramp.entry import questions
 from marlramp.platform import clients
 from marlramp.platform import http_clients
 from marlramp.protocol import messages
@@ -104,7 +104,7 @@
         self._build_shell()
         rng = random.Random()
         self._admission = admission.Admission(self._store, self._table)
-        self._queries = questions.Questions(
+        self._queries = agent_queries.AgentQueries(
             self._entry_id, self._table, self._links, rng
         )
         self._dispatcher = dispatcher.Dispatcher(
@@ -306,7 +306,7 @@
             case messages.GrantsIssued():
                 self._dispatcher.on_grants(vm_id, message)
             case messages.Reserved() | messages.RunStatus():
-                self._queries.on_reply(message)
+                self._queries.handle_reply(message)
             case messages.AgentReport():
                 self._on_report(vm_id, message)
             case messages.AgentHeartbeat():
--- a/src/marlramp/entry/dispatcher.py
+++ b/src/marlramp/entry/dispatcher.py
@@ -24,8 +24,8 @@
 from marlramp.core import routing
 from marlramp.core import run_tokens
 from marlramp.entry import admission as admission_module
+from marlramp.entry import agent_queries
 from marlramp.entry import call as call_module
-from marlramp.entry import questions
 from marlramp.entry import run_watch
 from marlramp.entry import service_queue
 from marlramp.protocol import messages
@@ -53,8 +53,8 @@
         settings: store.SettingsStore,
         table: agent_table.AgentTable,
         admission: admission_module.Admission,
-        queries: questions.Questions,
-        sender: questions.AgentSender,
+        queries: agent_queries.AgentQueries,
+        sender: agent_queries.AgentSender,
         totals: counters.Counters,
         time: clock.Clock,
         rng: random.Random,
@@ -520,7 +520,7 @@
     async def _end_after_cancel(
         self, call: call_module.Call, request_id: ids.RequestId
     ) -> None:
-        reply = await self._queries.reply(request_id, CANCEL_WAIT_MS)
+        reply = await self._queries.wait_for_reply(request_id, CANCEL_WAIT_MS)
         ran = errors.Ran.UNKNOWN
         if isinstance(reply, messages.RunStatus):
             ran = reply.ran
--- a/src/marlramp/entry/run_watch.py
+++ b/src/marlramp/entry/run_watch.py
@@ -14,8 +14,8 @@
 from marlramp import errors
 from marlramp import ids
 from marlramp.core import grants
+from marlramp.entry import agent_queries
 from marlramp.entry import call as call_module
-from marlramp.entry import questions
 from marlramp.protocol import messages
 
 SILENT_RUN_MS = 1_000.0
@@ -29,8 +29,8 @@
 
     def __init__(
         self,
-        queries: questions.Questions,
-        sender: questions.AgentSender,
+        queries: agent_queries.AgentQueries,
+        sender: agent_queries.AgentSender,
         resend: Callable[[call_module.Call], None],
         fail_attempt: Callable[[call_module.Call, errors.CallError], None],
     ) -> None:
@@ -67,8 +67,8 @@
         self, call: call_module.Call, query: messages.RunQuery
     ) -> None:
         attempt_id = call.attempt_id
-        reply = await self._queries.reply(
-            ids.RequestId(query.request_id), questions.ANSWER_WAIT_MS
+        reply = await self._queries.wait_for_reply(
+            ids.RequestId(query.request_id), agent_queries.REPLY_TIMEOUT_MS
         )
         superseded = call.grant is None or call.attempt_id != attempt_id
         if superseded or call.status is not None:
--- a/tests/entry/test_run_watch.py
+++ b/tests/entry/test_run_watch.py
@@ -19,8 +19,8 @@
 from marlramp.core import queueing
 from marlramp.core import run_tokens
 from marlramp.entry import admission
+from marlramp.entry import agent_queries
 from marlramp.entry import dispatcher
-from marlramp.entry import questions
 from marlramp.entry import run_watch
 from marlramp.experiments import documents
 from marlramp.protocol import messages
@@ -47,7 +47,7 @@
     def runs(self) -> list[messages.Run]:
         return [m for m in self.sent if isinstance(m, messages.Run)]
 
-    def asked(self) -> list[messages.RunQuery]:
+    def queries(self) -> list[messages.RunQuery]:
         return [m for m in self.sent if isinstance(m, messages.RunQuery)]
 
 
@@ -72,14 +72,14 @@
             settings.offer(messages.Document(key, 1, text))
         table = agent_table.AgentTable(settings.tree.effective)
         rng = random.Random(1)
-        self.questions = questions.Questions(
+        self.agent_queries = agent_queries.AgentQueries(
             ids.VmId("entry-0"), table, self.agent, rng
         )
         self.dispatcher = dispatcher.Dispatcher(
             settings,
             table,
             admission.Admission(settings, table),
-            self.questions,
+            self.agent_queries,
             self.agent,
             counters.Counters(),
             self.time,
@@ -110,9 +110,9 @@
 
     async def answer(self, state: grants.RunState) -> None:
         """Replies to the latest query with a state of the run."""
-        question = self.agent.asked()[-1]
-        self.questions.on_reply(
-            messages.RunStatus(request_id=question.request_id, state=state)
+        query = self.agent.queries()[-1]
+        self.agent_queries.handle_reply(
+            messages.RunStatus(request_id=query.request_id, state=state)
         )
         for _ in range(5):
             await asyncio.sleep(0)
@@ -150,7 +150,7 @@
         for _ in range(3):
             await entry.pass_silence()
             await entry.answer(grants.RunState.RUNNING)
-        assert len(entry.agent.asked()) == 3
+        assert len(entry.agent.queries()) == 3
         assert len(entry.agent.runs()) == 1
         assert not entry.call.ended
 
@@ -182,7 +182,7 @@
     async def use(entry: Entry) -> None:
         await entry.pass_silence()
         await entry.pass_silence()
-        assert len(entry.agent.asked()) == 2
+        assert len(entry.agent.queries()) == 2
         assert not entry.call.ended
 
     play(use)
