--- a/src/marlramp/entry/dispatcher.py
+++ b/src/marlramp/entry/dispatcher.py
@@ -26,7 +26,7 @@
 from marlramp.entry import admission as admission_module
 from marlramp.entry import agent_queries
 from marlramp.entry import call as call_module
-from marlramp.entry import run_watch
+from marlramp.entry import lost_run_detector
 from marlramp.entry import service_queue
 from marlramp.protocol import messages
 from marlramp.settings import schema
@@ -65,7 +65,7 @@
         self._admission = admission
         self._queries = queries
         self._sender = sender
-        self._lost_runs = run_watch.RunWatch(
+        self._lost_runs = lost_run_detector.LostRunDetector(
             queries, sender, self._resend, self._attempt_failed
         )
         self._totals = totals
@@ -481,7 +481,7 @@
         if now_ms >= call.spec.deadline_ms:
             self._expire(call)
             return
-        self._lost_runs.look(call, now_ms)
+        self._lost_runs.check(call, now_ms)
         if call.first_part_ms is None or not call.spec.stream:
             return
         values = self._settings.tree.effective(call.spec.service_id)
--- a/src/marlramp/entry/run_watch.py
+++ b/src/marlramp/entry/lost_run_detector.py
@@ -18,13 +18,13 @@
 from marlramp.entry import call as call_module
 from marlramp.protocol import messages
 
-SILENT_RUN_MS = 1_000.0
+RUN_SILENCE_MAX_MS = 1_000.0
 """Time without any message about a run after which its agent is queried."""
 
 _ENDED_STATES = frozenset({grants.RunState.SUCCEEDED, grants.RunState.FAILED})
 
 
-class RunWatch:
+class LostRunDetector:
     """Queries agents about silent runs, and resends or fails lost ones."""
 
     def __init__(
@@ -47,11 +47,11 @@
         self._resend = resend
         self._fail_attempt = fail_attempt
 
-    def look(self, call: call_module.Call, now_ms: clock.Millis) -> None:
+    def check(self, call: call_module.Call, now_ms: clock.Millis) -> None:
         """Queries the agent if the current attempt is silent for too long."""
         answering = call.status is not None or call.first_part_ms is not None
         silent_ms = now_ms - call.queried_ms
-        if answering or call.grant is None or silent_ms < SILENT_RUN_MS:
+        if answering or call.grant is None or silent_ms < RUN_SILENCE_MAX_MS:
             return
         call.queried_ms = now_ms
         query = messages.RunQuery(
--- a/tests/entry/test_run_watch.py
+++ b/tests/entry/test_lost_run_detector.py
@@ -21,7 +21,7 @@
 from marlramp.entry import admission
 from marlramp.entry import agent_queries
 from marlramp.entry import dispatcher
-from marlramp.entry import run_watch
+from marlramp.entry import lost_run_detector
 from marlramp.experiments import documents
 from marlramp.protocol import messages
 from marlramp.settings import store
@@ -102,13 +102,13 @@
         )
         self.call = self.dispatcher.submit(spec, TOKEN)
 
-    async def pass_silence(self) -> None:
+    async def advance_past_silence(self) -> None:
         """Advances the clock until the agent is queried, and ticks once."""
-        self.time.advance(run_watch.SILENT_RUN_MS)
+        self.time.advance(lost_run_detector.RUN_SILENCE_MAX_MS)
         self.dispatcher.tick()
         await asyncio.sleep(0)
 
-    async def answer(self, state: grants.RunState) -> None:
+    async def reply_with(self, state: grants.RunState) -> None:
         """Replies to the latest query with a state of the run."""
         query = self.agent.queries()[-1]
         self.agent_queries.handle_reply(
@@ -118,9 +118,9 @@
             await asyncio.sleep(0)
 
 
-def play(use: Callable[[Entry], Awaitable[None]]) -> None:
+def run_scenario(scenario: Callable[[Entry], Awaitable[None]]) -> None:
     async def main() -> None:
-        await use(Entry())
+        await scenario(Entry())
 
     asyncio.run(main())
 
@@ -128,13 +128,13 @@
 @pytest.mark.parametrize(
     "state", [grants.RunState.NOT_STARTED, grants.RunState.SUCCEEDED]
 )
-def test_run_that_a_link_lost_is_sent_again(state: grants.RunState) -> None:
+def test_run_lost_by_a_link_is_resent(state: grants.RunState) -> None:
     """After a suspension of its VM an entry waited for the call's deadline."""
 
-    async def use(entry: Entry) -> None:
+    async def scenario(entry: Entry) -> None:
         assert len(entry.agent.runs()) == 1
-        await entry.pass_silence()
-        await entry.answer(state)
+        await entry.advance_past_silence()
+        await entry.reply_with(state)
         first, second = entry.agent.runs()
         assert (second.number, second.request_id) == (
             first.number,
@@ -142,19 +142,19 @@
         )
         assert not entry.call.ended
 
-    play(use)
+    run_scenario(scenario)
 
 
-def test_run_that_goes_on_is_not_sent_again() -> None:
-    async def use(entry: Entry) -> None:
+def test_running_run_is_not_resent() -> None:
+    async def scenario(entry: Entry) -> None:
         for _ in range(3):
-            await entry.pass_silence()
-            await entry.answer(grants.RunState.RUNNING)
+            await entry.advance_past_silence()
+            await entry.reply_with(grants.RunState.RUNNING)
         assert len(entry.agent.queries()) == 3
         assert len(entry.agent.runs()) == 1
         assert not entry.call.ended
 
-    play(use)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -164,25 +164,25 @@
         (grants.RunState.UNKNOWN, errors.Ran.UNKNOWN),
     ],
 )
-def test_run_that_can_not_start_any_more_ends_at_once(
+def test_void_or_unknown_run_fails_at_once(
     state: grants.RunState, ran: errors.Ran
 ) -> None:
-    async def use(entry: Entry) -> None:
-        await entry.pass_silence()
-        await entry.answer(state)
+    async def scenario(entry: Entry) -> None:
+        await entry.advance_past_silence()
+        await entry.reply_with(state)
         assert entry.call.ended
         assert entry.call.failure is not None
         assert entry.call.failure.ran is ran
         assert len(entry.agent.runs()) == 1
 
-    play(use)
+    run_scenario(scenario)
 
 
-def test_agent_that_does_not_answer_is_asked_again() -> None:
-    async def use(entry: Entry) -> None:
-        await entry.pass_silence()
-        await entry.pass_silence()
+def test_silent_agent_is_queried_again() -> None:
+    async def scenario(entry: Entry) -> None:
+        await entry.advance_past_silence()
+        await entry.advance_past_silence()
         assert len(entry.agent.queries()) == 2
         assert not entry.call.ended
 
-    play(use)
+    run_scenario(scenario)
