--- a/src/marlramp/entry/admission.py
+++ b/src/marlramp/entry/admission.py
@@ -9,7 +9,7 @@
 from marlramp.core import calls
 from marlramp.core import limits
 from marlramp.core import run_tokens
-from marlramp.entry import service_queue
+from marlramp.entry import service_state
 from marlramp.settings import store
 
 RETRY_AFTER_MAX_MS = 3_600_000
@@ -77,7 +77,7 @@
     def check_wait(
         self,
         spec: calls.CallSpec,
-        service: service_queue.ServiceQueue,
+        service: service_state.ServiceState,
         now_ms: clock.Millis,
     ) -> None:
         """Checks that a call can end before its deadline.
@@ -99,9 +99,9 @@
         ahead = service.queue.ahead(spec.priority, spec.customer_id)
         if not ahead or not self._refuses_unreachable(spec):
             return
-        work_ms = sum(service.pace.expected_ms(w.cost) for w in ahead)
+        work_ms = sum(service.run_duration.expected_ms(w.cost) for w in ahead)
         wait_ms = work_ms / max(1, service.in_flight)
-        wait_ms += service.pace.expected_ms(spec.tokens)
+        wait_ms += service.run_duration.expected_ms(spec.tokens)
         if wait_ms > left_ms:
             raise errors.CallError(
                 errors.ErrorKind.DEADLINE_UNREACHABLE,
@@ -113,7 +113,7 @@
         self,
         spec: calls.CallSpec,
         parts_delivered: int,
-        service: service_queue.ServiceQueue,
+        service: service_state.ServiceState,
         now_ms: clock.Millis,
     ) -> bool:
         """Returns whether a call that starts now would end after its deadline.
@@ -123,7 +123,9 @@
         """
         if not self._refuses_unreachable(spec):
             return False
-        expected_ms = service.pace.expected_ms(spec.tokens - parts_delivered)
+        expected_ms = service.run_duration.expected_ms(
+            spec.tokens - parts_delivered
+        )
         return now_ms + expected_ms > spec.deadline_ms
 
     def charge(self, spec: calls.CallSpec, now_ms: clock.Millis) -> None:
--- a/src/marlramp/entry/dispatcher.py
+++ b/src/marlramp/entry/dispatcher.py
@@ -27,7 +27,7 @@
 from marlramp.entry import agent_queries
 from marlramp.entry import call as call_module
 from marlramp.entry import lost_run_detector
-from marlramp.entry import service_queue
+from marlramp.entry import service_state
 from marlramp.protocol import messages
 from marlramp.settings import schema
 from marlramp.settings import store
@@ -71,7 +71,7 @@
         self._totals = totals
         self._clock = time
         self._rng = rng
-        self._services: dict[ids.ServiceId, service_queue.ServiceQueue] = {}
+        self._services: dict[ids.ServiceId, service_state.ServiceState] = {}
         self._queued: dict[ids.RequestId, call_module.Call] = {}
         self._attempts: dict[ids.RequestId, call_module.Call] = {}
         self._backing_off: set[call_module.Call] = set()
@@ -108,7 +108,7 @@
     def settings_changed(self) -> None:
         """Applies changed settings to the queues of all services."""
         for service_id, service in self._services.items():
-            service.configure(self._settings.tree.effective(service_id))
+            service.apply_settings(self._settings.tree.effective(service_id))
 
     # Methods for callers' tasks.
 
@@ -146,7 +146,7 @@
             spec.deadline_ms,
         )
         call = call_module.Call(state, waiting, token, now_ms)
-        service.budget.record_request()
+        service.retry_budget.record_request()
         if token is not None:
             self._start_token_attempt(call, token)
         else:
@@ -296,7 +296,7 @@
     # Queue.
 
     def _enqueue(
-        self, call: call_module.Call, service: service_queue.ServiceQueue
+        self, call: call_module.Call, service: service_state.ServiceState
     ) -> None:
         displaced = service.queue.push(call.waiting)
         if displaced is call.waiting:
@@ -411,7 +411,7 @@
         service = self._service(call.spec.service_id)
         now_ms = self._clock.now_ms()
         step = call.state.next_step(
-            failure, grant.vm_id, service.budget, now_ms
+            failure, grant.vm_id, service.retry_budget, now_ms
         )
         if isinstance(step, errors.CallError):
             self._fail(call, step)
@@ -549,7 +549,7 @@
         service = self._service(call.spec.service_id)
         used = call.state.assembly.next_seq
         first_ms = (call.first_part_ms or now_ms) - call.started_ms
-        service.pace.record(first_ms, now_ms - call.started_ms, used)
+        service.run_duration.record(first_ms, now_ms - call.started_ms, used)
         if call.spec.stream:
             self._admission.settle(call.spec, used, now_ms)
         info = self._agent_of(call)
@@ -612,10 +612,10 @@
             return None
         return info
 
-    def _service(self, service_id: ids.ServiceId) -> service_queue.ServiceQueue:
+    def _service(self, service_id: ids.ServiceId) -> service_state.ServiceState:
         service = self._services.get(service_id)
         if service is None:
             values = self._settings.tree.effective(service_id)
-            service = service_queue.ServiceQueue(values)
+            service = service_state.ServiceState(values)
             self._services[service_id] = service
         return service
--- a/src/marlramp/entry/service_queue.py
+++ b/src/marlramp/entry/service_state.py
@@ -11,7 +11,7 @@
 """Retries of a service that an entry may send at once, beyond the ratio."""
 
 
-class ServiceQueue:
+class ServiceState:
     """Queue, retry budget and run durations of one service at this entry.
 
     Attributes:
@@ -24,13 +24,13 @@
     def __init__(self, values: schema.Settings) -> None:
         """Starts with an empty queue."""
         self.queue = queueing.FairQueue(values.queue_length_max)
-        self.budget = retries.RetryBudget(
+        self.retry_budget = retries.RetryBudget(
             values.retry_ratio, RETRY_BUDGET_BURST
         )
-        self.pace = run_duration.RunDuration()
+        self.run_duration = run_duration.RunDuration()
         self.in_flight = 0
 
-    def configure(self, values: schema.Settings) -> None:
+    def apply_settings(self, values: schema.Settings) -> None:
         """Applies changed settings to the queue and the retry budget."""
         self.queue.length_max = values.queue_length_max
-        self.budget.ratio = values.retry_ratio
+        self.retry_budget.ratio = values.retry_ratio
