--- a/src/marlramp/entry/admin_app.py
+++ b/src/marlramp/entry/admin_app.py
@@ -151,7 +151,7 @@
 
     async def limits(self, request: requests.Request) -> responses.Response:
         """Returns each customer's limits and this entry's share of them."""
-        entries = self._admission.entries_listed
+        entries = self._admission.entry_count
         found = []
         for customer_id in self._settings.tree.customer_ids():
             values = self._settings.tree.effective(None, customer_id)
--- a/src/marlramp/entry/admission.py
+++ b/src/marlramp/entry/admission.py
@@ -32,10 +32,10 @@
         self._settings = settings
         self._table = table
         self._limits: dict[ids.CustomerId, limits.CustomerLimit] = {}
-        self.entries_listed = 1
+        self.entry_count = 1
         self.draining = False
 
-    def settings_changed(self, now_ms: clock.Millis) -> None:
+    def apply_settings(self, now_ms: clock.Millis) -> None:
         """Applies changed settings or a changed `entry_count` to the limits."""
         for customer_id, limit in self._limits.items():
             values = self._settings.tree.effective(None, customer_id)
@@ -43,7 +43,7 @@
                 values.requests_per_s,
                 values.tokens_per_s,
                 values.burst_s,
-                self.entries_listed,
+                self.entry_count,
                 now_ms,
             )
 
@@ -74,7 +74,7 @@
                 "the run token is for another service or customer",
             )
 
-    def check_wait(
+    def check_deadline(
         self,
         spec: calls.CallSpec,
         service: service_state.ServiceState,
@@ -109,7 +109,7 @@
                 retry_after_ms=int(wait_ms - left_ms) + 1,
             )
 
-    def too_late(
+    def misses_deadline(
         self,
         spec: calls.CallSpec,
         parts_delivered: int,
@@ -141,7 +141,7 @@
                 values.requests_per_s,
                 values.tokens_per_s,
                 values.burst_s,
-                self.entries_listed,
+                self.entry_count,
                 now_ms,
             )
             self._limits[spec.customer_id] = limit
--- a/src/marlramp/entry/daemon.py
+++ b/src/marlramp/entry/daemon.py
@@ -416,8 +416,8 @@
 
     def _members_changed(self) -> None:
         entries = self._members.find(clients.VmRole.ENTRY)
-        self._admission.entries_listed = max(1, len(entries))
-        self._admission.settings_changed(self._clock.now_ms())
+        self._admission.entry_count = max(1, len(entries))
+        self._admission.apply_settings(self._clock.now_ms())
         data_centre = self._settings.identity.data_centre
         near = [vm.vm_id for vm in entries if vm.data_centre == data_centre]
         readers = rendezvous.subset(data_centre, near, READERS_PER_DATA_CENTRE)
@@ -440,8 +440,8 @@
         return self._store.tree.effective(service_id)
 
     def _settings_accepted(self) -> None:
-        self._dispatcher.settings_changed()
-        self._admission.settings_changed(self._clock.now_ms())
+        self._dispatcher.apply_settings()
+        self._admission.apply_settings(self._clock.now_ms())
         self._table.apply_settings()
         for vm_id in list(self._revisions):
             self._compare_settings(vm_id)
--- a/src/marlramp/entry/dispatcher.py
+++ b/src/marlramp/entry/dispatcher.py
@@ -105,7 +105,7 @@
             for service_id, service in self._services.items()
         }
 
-    def settings_changed(self) -> None:
+    def apply_settings(self) -> None:
         """Applies changed settings to the queues of all services."""
         for service_id, service in self._services.items():
             service.apply_settings(self._settings.tree.effective(service_id))
@@ -126,7 +126,7 @@
             self._totals.add(counters.CounterName.REQUESTS, spec.service_id)
             service = self._service(spec.service_id)
             if token is None:
-                self._admission.check_wait(spec, service, now_ms)
+                self._admission.check_deadline(spec, service, now_ms)
             self._admission.charge(spec, now_ms)
         except errors.CallError as error:
             self._count_refusal(error)
@@ -268,7 +268,7 @@
             if waiting is None:
                 return
             call = self._queued[waiting.request_id]
-            if call.admitted_ms != now_ms and self._admission.too_late(
+            if call.admitted_ms != now_ms and self._admission.misses_deadline(
                 call.spec, call.state.resume_from, service, now_ms
             ):
                 del self._queued[waiting.request_id]
