--- a/src/marlramp/entry/answers.py
+++ b/src/marlramp/entry/answers.py
@@ -151,7 +151,7 @@
         writer = _DirectWriter(send, lambda: self._dispatcher.abandon(call))
         call.attach(writer.write)
         try:
-            await call.whole()
+            await call.wait_complete()
         except errors.CallError as failure:
             writer.write(error_event(error_body(failure, request_id)))
         await writer.flush()
--- a/src/marlramp/entry/call.py
+++ b/src/marlramp/entry/call.py
@@ -115,7 +115,7 @@
         self._ready.clear()
         return data
 
-    async def whole(self) -> None:
+    async def wait_complete(self) -> None:
         """Waits until an answer that is passed to a sink is complete.
 
         Raises:
--- a/src/marlramp/entry/caller_app.py
+++ b/src/marlramp/entry/caller_app.py
@@ -262,7 +262,7 @@
             ) from error
 
     def _check_reachable(self, token: run_tokens.RunToken) -> None:
-        if self._dispatcher.reaches(ids.VmId(token.vm_id)):
+        if self._dispatcher.is_linked(ids.VmId(token.vm_id)):
             return
         elsewhere = self._directory.entries_of(ids.VmId(token.vm_id))
         if elsewhere and not self._directory.is_among(elsewhere):
--- a/src/marlramp/entry/daemon.py
+++ b/src/marlramp/entry/daemon.py
@@ -298,13 +298,13 @@
         self._table.record_contact(vm_id, self._clock.now_ms())
         match message:
             case messages.PartsBatch():
-                self._dispatcher.on_parts(message)
+                self._dispatcher.handle_parts(message)
             case messages.RunHeaders():
-                self._dispatcher.on_headers(message)
+                self._dispatcher.handle_headers(message)
             case messages.RunEnded():
-                self._dispatcher.on_ended(message)
+                self._dispatcher.handle_run_ended(message)
             case messages.GrantsIssued():
-                self._dispatcher.on_grants(vm_id, message)
+                self._dispatcher.handle_grants(vm_id, message)
             case messages.Reserved() | messages.RunStatus():
                 self._queries.handle_reply(message)
             case messages.AgentReport():
@@ -334,7 +334,7 @@
         if restarted:
             logs.log("agent_restarted", vm=vm_id)
             self._permit_issuer.drop(vm_id)
-            self._dispatcher.agent_lost(vm_id)
+            self._dispatcher.handle_agent_lost(vm_id)
         if message.state is messages.AgentState.READY and (
             message.version == message.target_version
         ):
@@ -410,7 +410,7 @@
         self._table.remove(vm_id)
         self._revisions.pop(vm_id, None)
         self._heartbeats.pop(vm_id, None)
-        self._dispatcher.agent_lost(vm_id)
+        self._dispatcher.handle_agent_lost(vm_id)
 
     # Changes of the VM list and the settings.
 
--- a/src/marlramp/entry/dispatcher.py
+++ b/src/marlramp/entry/dispatcher.py
@@ -87,7 +87,7 @@
         """Number of calls that have not ended."""
         return len(self._queued) + len(self._attempts) + len(self._backing_off)
 
-    def reaches(self, vm_id: ids.VmId) -> bool:
+    def is_linked(self, vm_id: ids.VmId) -> bool:
         """Returns whether an agent is linked to this entry."""
         return self._table.get(vm_id) is not None
 
@@ -166,7 +166,7 @@
 
     # Messages from agents.
 
-    def on_grants(
+    def handle_grants(
         self, vm_id: ids.VmId, message: messages.GrantsIssued
     ) -> None:
         """Adds an agent's grants to the pool and starts waiting calls."""
@@ -184,7 +184,7 @@
         if info is not None:
             self.dispatch(ids.ServiceId(info.report.service_id))
 
-    def on_headers(self, message: messages.RunHeaders) -> None:
+    def handle_headers(self, message: messages.RunHeaders) -> None:
         """Records the HTTP status and the media type of an answer."""
         call = self._attempts.get(ids.RequestId(message.request_id))
         if call is not None and call.status is None:
@@ -192,7 +192,7 @@
             call.content_type = message.content_type
             call.progress_ms = self._clock.now_ms()
 
-    def on_parts(self, batch: messages.PartsBatch) -> None:
+    def handle_parts(self, batch: messages.PartsBatch) -> None:
         """Delivers a batch of parts, which may belong to several answers."""
         now_ms = self._clock.now_ms()
         for answer in batch.answers:
@@ -211,7 +211,7 @@
             if call.state.assembly.complete:
                 self._succeed(call)
 
-    def on_ended(self, message: messages.RunEnded) -> None:
+    def handle_run_ended(self, message: messages.RunEnded) -> None:
         """Fails an attempt whose run ended before its answer was complete."""
         call = self._attempts.get(ids.RequestId(message.request_id))
         if call is None:
@@ -223,7 +223,7 @@
             )
         self._attempt_failed(call, failure)
 
-    def agent_lost(self, vm_id: ids.VmId) -> None:
+    def handle_agent_lost(self, vm_id: ids.VmId) -> None:
         """Fails the attempts at an agent that is lost or has restarted."""
         for call in list(self._attempts.values()):
             if call.grant is not None and call.grant.vm_id == vm_id:
