--- a/src/marlramp/entry/caller_app.py
+++ b/src/marlramp/entry/caller_app.py
@@ -56,27 +56,46 @@
 
 
 class AddressList(msgspec.Struct, frozen=True):
-    """Answer of GET /v1/addresses."""
+    """Answer of GET /v1/addresses.
+
+    Attributes:
+      addresses: base URLs of the entries, in random order.
+      lifetime_ms: time for which the list is valid.
+    """
 
     addresses: list[str]
     lifetime_ms: int
 
 
 class IssuedToken(msgspec.Struct, frozen=True):
-    """Answer of POST /v1/run-tokens."""
+    """Answer of POST /v1/run-tokens.
+
+    Attributes:
+      run_token: the signed run token.
+      lifetime_ms: time for which the run token is valid.
+    """
 
     run_token: str
     lifetime_ms: int
 
 
 class TokenRequest(msgspec.Struct, frozen=True):
-    """Body of POST /v1/run-tokens."""
+    """Body of POST /v1/run-tokens.
+
+    Attributes:
+      service: service that the run token is for.
+    """
 
     service: str
 
 
 class RunOutcome(msgspec.Struct, frozen=True):
-    """Answer of GET /v1/runs/{token}."""
+    """Answer of GET /v1/runs/{token}.
+
+    Attributes:
+      state: state of the run at its agent.
+      ran: whether the request ran.
+    """
 
     state: str
     ran: errors.Ran
--- a/src/marlramp/entry/daemon.py
+++ b/src/marlramp/entry/daemon.py
@@ -56,6 +56,9 @@
 """Entries of a data centre that watch the configuration service."""
 
 LINK_BYTES_MAX = messages.BODY_BYTES_MAX * 2
+"""Largest message that the entry accepts on a link; the link of an agent that
+sends a larger one is closed."""
+
 CLOSE_GRACE_S = 5
 """Time that the HTTP server gives open connections when it shuts down."""
 
--- a/src/marlramp/entry/requests.py
+++ b/src/marlramp/entry/requests.py
@@ -26,9 +26,16 @@
 IDEMPOTENT_HEADER = "marlramp-idempotent"
 
 COMPLETION_PATH = "/v1/completions"
+
 TOKENS_DEFAULT = 16
+"""Value of `max_tokens` for a completion request without it."""
+
 PREFIX_CHARACTERS = 256
+"""Length of the start of a prompt that `prefix_digest` covers."""
+
 TIMEOUT_MAX_MS = 3_600_000.0
+"""Longest timeout that a caller may set, 1 h."""
+
 _IDEMPOTENT_METHODS = frozenset({"GET", "HEAD", "PUT", "DELETE"})
 _REQUEST_ID = re.compile(r"^[\x21-\x7e]{1,128}$")
 _BOOLEANS = {"true": True, "false": False}
