--- a/src/marlramp/entry/agent_queries.py
+++ b/src/marlramp/entry/agent_queries.py
@@ -22,6 +22,7 @@
 """Most agents that are requested to reserve a grant for one run token."""
 
 Reply: TypeAlias = messages.Reserved | messages.RunStatus
+"""Messages with which agents reply to queries."""
 
 
 class AgentSender(Protocol):
--- a/src/marlramp/entry/answers.py
+++ b/src/marlramp/entry/answers.py
@@ -40,7 +40,8 @@
       kind: one of `errors.ErrorKind`.
       message: explanation for people.
       ran: whether the request ran: no, yes or unknown.
-      retry_after_ms: recommended wait before a retry, or None.
+      retry_after_ms: recommended wait before a retry, None if a retry cannot
+        help.
       request_id: the caller's request id.
       run_token: a run token to send the request again with, or None.
       addresses: addresses of entries to use instead, empty for none.
--- a/src/marlramp/entry/dispatcher.py
+++ b/src/marlramp/entry/dispatcher.py
@@ -92,7 +92,7 @@
         return self._table.get(vm_id) is not None
 
     def demand(self, service_id: ids.ServiceId) -> int:
-        """Returns how many requests of a service run or wait at this entry."""
+        """Returns how many calls of a service run or wait at this entry."""
         service = self._services.get(service_id)
         if service is None:
             return 0
@@ -118,7 +118,7 @@
         """Admits a call and starts or queues it.
 
         Raises:
-          errors.CallError: if the call is refused; nothing has run.
+          errors.CallError: if the call is refused; this entry has sent no run.
         """
         now_ms = self._clock.now_ms()
         try:
