--- a/src/marlramp/entry/caller_app.py
+++ b/src/marlramp/entry/caller_app.py
@@ -1,4 +1,4 @@
-"""HTTP interface for callers."""
+"""HTTP API of an entry for callers."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
 if TYPE_CHECKING:
     from starlette import types
 
+    from marlramp.entry import agent_queries
     from marlramp.entry import call as call_module
     from marlramp.entry import dispatcher
-    from marlramp.entry import questions
     from marlramp.platform import clients
     from marlramp.settings import store
 
@@ -35,7 +35,7 @@
 
 
 class EntryDirectory(Protocol):
-    """Knows the entries."""
+    """Lists the entries of the fleet."""
 
     @property
     def leaving(self) -> bool:
@@ -56,27 +56,46 @@
 
 
 class AddressList(msgspec.Struct, frozen=True):
-    """Answer of GET /v1/addresses."""
+    """Answer of GET /v1/addresses.
+
+    Attributes:
+      addresses: base URLs of the entries, in random order.
+      lifetime_ms: time for which the list is valid.
+    """
 
     addresses: list[str]
     lifetime_ms: int
 
 
 class IssuedToken(msgspec.Struct, frozen=True):
-    """Answer of POST /v1/run-tokens."""
+    """Answer of POST /v1/run-tokens.
+
+    Attributes:
+      run_token: the signed run token.
+      lifetime_ms: time for which the run token is valid.
+    """
 
     run_token: str
     lifetime_ms: int
 
 
 class TokenRequest(msgspec.Struct, frozen=True):
-    """Body of POST /v1/run-tokens."""
+    """Body of POST /v1/run-tokens.
+
+    Attributes:
+      service: service that the run token is for.
+    """
 
     service: str
 
 
 class RunOutcome(msgspec.Struct, frozen=True):
-    """Answer of GET /v1/runs/{token}."""
+    """Answer of GET /v1/runs/{token}.
+
+    Attributes:
+      state: state of the run at its agent.
+      ran: whether the request ran.
+    """
 
     state: str
     ran: errors.Ran
@@ -98,16 +117,16 @@
 
     def __init__(
         self,
-        owner: dispatcher.Dispatcher,
-        asked: questions.Questions,
+        call_dispatcher: dispatcher.Dispatcher,
+        queries: agent_queries.AgentQueries,
         settings: store.SettingsStore,
         signer: run_tokens.TokenSigner,
         directory: EntryDirectory,
         time: clock.Clock,
     ) -> None:
-        """Submits calls to `owner`."""
-        self._owner = owner
-        self._questions = asked
+        """Creates endpoints that submit calls to the dispatcher."""
+        self._dispatcher = call_dispatcher
+        self._queries = queries
         self._settings = settings
         self._signer = signer
         self._directory = directory
@@ -135,14 +154,14 @@
         ]
 
     async def health(self, request: requests.Request) -> responses.Response:
-        """Answers 200 while this entry takes calls."""
+        """Answers 200 while this entry accepts calls, else 503."""
         ready = self._settings.complete and not self._directory.leaving
         return responses.PlainTextResponse(
             "ready" if ready else "not ready", 200 if ready else 503
         )
 
     async def addresses(self, request: requests.Request) -> responses.Response:
-        """Tells the caller which entries to use, and for how long."""
+        """Returns the entries to use and how long the list is valid."""
         values = self._settings.tree.effective()
         answer = AddressList(self._addresses(), values.address_lifetime_ms)
         return _json(answer)
@@ -155,9 +174,9 @@
         try:
             caller = caller_requests.read_headers(request, request_id)
             body = await caller_requests.read_body(request)
-            wanted = _decode_token_request(body)
-            service_id = ids.ServiceId(wanted.service)
-            text = await self._issue(service_id, caller.customer_id)
+            token_request = _decode_token_request(body)
+            service_id = ids.ServiceId(token_request.service)
+            text = await self._issue_token(service_id, caller.customer_id)
         except errors.CallError as failure:
             return self._error(failure, request_id)
         values = self._settings.tree.effective(service_id)
@@ -166,13 +185,13 @@
     async def run_outcome(
         self, request: requests.Request
     ) -> responses.Response:
-        """Tells what became of a run token."""
+        """Returns the state of a run token's run and whether it ran."""
         request_id = caller_requests.request_id_of(request)
         try:
             token = self._signer.decode(request.path_params["token"])
         except errors.CallError as error:
             return self._error(error, request_id)
-        status = await self._questions.query(token)
+        status = await self._queries.query_run(token)
         if status is None:
             failure = errors.CallError(
                 errors.ErrorKind.UPSTREAM_LOST,
@@ -185,7 +204,7 @@
     async def completions(
         self, request: requests.Request
     ) -> responses.Response | answers.StreamedAnswer:
-        """Runs a completion, streamed or whole."""
+        """Runs a completion and answers with a stream or one document."""
         request_id = caller_requests.request_id_of(request)
         try:
             caller = caller_requests.read_headers(request, request_id)
@@ -201,11 +220,11 @@
             return self._error(failure, request_id)
         if streamed:
             headers = {answers.REQUEST_ID_HEADER: str(request_id)}
-            return answers.StreamedAnswer(call, self._owner, headers)
-        return await self._whole_completion(call)
+            return answers.StreamedAnswer(call, self._dispatcher, headers)
+        return await self._completion_response(call)
 
     async def plain(self, request: requests.Request) -> responses.Response:
-        """Passes a call through to a plain service."""
+        """Forwards a request to a plain service."""
         request_id = caller_requests.request_id_of(request)
         service = request.path_params["service"]
         try:
@@ -226,7 +245,7 @@
             return self._error(needed.failure, request_id, needed.text)
         except errors.CallError as failure:
             return self._error(failure, request_id)
-        return await self._whole_body(call)
+        return await self._plain_response(call)
 
     async def _submit(
         self, spec: calls.CallSpec, caller: caller_requests.CallerRequest
@@ -239,20 +258,20 @@
             )
             if values.run_token_required:
                 await self._require_token(spec)
-        return self._owner.submit(spec, None)
+        return self._dispatcher.submit(spec, None)
 
     def _submit_token(
         self, spec: calls.CallSpec, text: str
     ) -> call_module.Call:
         """Submits a call with a run token.
 
-        A refusal here proves nothing about an earlier request with the same
-        token, which another entry may have run.
+        A refusal does not prove that the request did not run: another entry
+        may have run an earlier request with this token.
         """
         try:
             token = self._signer.decode(text)
             self._check_reachable(token)
-            return self._owner.submit(spec, token)
+            return self._dispatcher.submit(spec, token)
         except errors.CallError as error:
             raise errors.CallError(
                 error.kind,
@@ -262,7 +281,7 @@
             ) from error
 
     def _check_reachable(self, token: run_tokens.RunToken) -> None:
-        if self._owner.reaches(ids.VmId(token.vm_id)):
+        if self._dispatcher.is_linked(ids.VmId(token.vm_id)):
             return
         elsewhere = self._directory.entries_of(ids.VmId(token.vm_id))
         if elsewhere and not self._directory.is_among(elsewhere):
@@ -275,18 +294,18 @@
         )
 
     async def _require_token(self, spec: calls.CallSpec) -> None:
-        """Refuses a non-idempotent call, with a token to repeat it with."""
-        text = await self._issue(spec.service_id, spec.customer_id)
+        """Refuses a non-idempotent call, with a run token for its retry."""
+        text = await self._issue_token(spec.service_id, spec.customer_id)
         failure = errors.CallError(errors.ErrorKind.RUN_TOKEN_REQUIRED)
         raise _TokenNeededError(failure, text)
 
-    async def _issue(
+    async def _issue_token(
         self, service_id: ids.ServiceId, customer_id: ids.CustomerId
     ) -> str:
-        token = await self._questions.reserve(service_id, customer_id)
+        token = await self._queries.reserve(service_id, customer_id)
         return self._signer.encode(token)
 
-    async def _whole_completion(
+    async def _completion_response(
         self, call: call_module.Call
     ) -> responses.Response:
         try:
@@ -321,7 +340,9 @@
         response.headers[answers.VERSION_HEADER] = version
         return response
 
-    async def _whole_body(self, call: call_module.Call) -> responses.Response:
+    async def _plain_response(
+        self, call: call_module.Call
+    ) -> responses.Response:
         try:
             data = await self._collect(call)
         except errors.CallError as failure:
@@ -339,7 +360,7 @@
             while data := await call.next_data():
                 pieces.append(data)
         finally:
-            self._owner.abandon(call)
+            self._dispatcher.abandon(call)
         return b"".join(pieces)
 
     def _addresses(self) -> list[str]:
@@ -367,8 +388,8 @@
 class _CompletionEndpoint:
     """ASGI endpoint for completions.
 
-    A function would be wrapped by starlette in two layers that every part of
-    a stream passes through.
+    It is a class because starlette wraps a function in two layers, which every
+    part of a stream would pass through.
     """
 
     def __init__(self, app: CallerApp) -> None:
@@ -383,7 +404,7 @@
 
 
 class _TokenNeededError(Exception):
-    """A non-idempotent call came without a run token."""
+    """A non-idempotent call was sent without a run token."""
 
     def __init__(self, failure: errors.CallError, text: str) -> None:
         super().__init__(str(failure))
