--- a/src/marlramp/direct/fleet/catalog_sync.py
+++ b/src/marlramp/direct/fleet/catalog_sync.py
@@ -60,7 +60,7 @@
         self._catalog = known
         self._sync = sync
         self._on_changed = on_changed
-        self._on_named = on_version_announced
+        self._on_version_announced = on_version_announced
         self._clock = time
         self._requested_ms = float("-inf")
         self._store_down = False
@@ -93,7 +93,8 @@
     def on_update(self, name: str, update: fleet_messages.CatalogNews) -> None:
         """Applies changes from another entry, and forwards them if requested.
 
-        If changes are missing in between, requests them from the sender.
+        If the update does not follow the own revision without a gap, requests
+        the missing changes from its sender.
         """
         now_ms = self._clock.now_ms()
         before = self._catalog.revision
@@ -109,15 +110,15 @@
         if new:
             self._handle_changes(new, name)
         if update.pass_on:
-            self._pass_on(update, changes)
+            self._forward(update, changes)
         if update.told_near:
             self._near_sent_revision = max(
                 self._near_sent_revision, update.revision
             )
         if any(isinstance(c, catalog.TargetChange) for c in new):
-            self._on_named(name)
+            self._on_version_announced(name)
 
-    def _pass_on(
+    def _forward(
         self, update: fleet_messages.CatalogNews, changes: list[catalog.Change]
     ) -> None:
         """Forwards changes to the entries of the own region.
--- a/tests/direct/fleet/test_entry_contacts.py
+++ b/tests/direct/fleet/test_entry_contacts.py
@@ -113,8 +113,8 @@
 
 
 def hello(by: int) -> fleet_messages.Hello:
-    news = members.MemberUpdate(entry(by), 1, members.MemberState.READY)
-    return fleet_messages.Hello(news=news, sample=[], reply=False)
+    update = members.MemberUpdate(entry(by), 1, members.MemberState.READY)
+    return fleet_messages.Hello(news=update, sample=[], reply=False)
 
 
 def test_seed_is_contacted_once_by_vm(one: Agent) -> None:
