--- a/src/marlramp/direct/fleet/member_sync.py
+++ b/src/marlramp/direct/fleet/member_sync.py
@@ -51,7 +51,7 @@
 """Number of members listed in the answer to an introduction."""
 
 RECORD_REPORT_MS = 400.0
-"""Minimum interval between two reports to a process that it is considered
+"""Minimum interval between two reports to a process whose record here is
 suspect, down or of a newer incarnation."""
 
 _SEED = "seed:"
--- a/src/marlramp/direct/fleet/store_reader.py
+++ b/src/marlramp/direct/fleet/store_reader.py
@@ -155,7 +155,7 @@
     def _has_more_arriving(self) -> bool:
         """Whether a large answer to the current call is arriving.
 
-        A watch that lasts this long without any answer times out.
+        A watch without any answer times out after `ARRIVING_AFTER_MS`.
         """
         if self._requested_ms is None:
             return False
