--- a/src/marlramp/direct/fleet/agent_coordinator.py
+++ b/src/marlramp/direct/fleet/agent_coordinator.py
@@ -76,7 +76,7 @@
         self._send_weights(vm_id)
 
     def tick(self, *, divided: bool) -> None:
-        """Sends changed neighbours, and all weights every `REFRESH_MS`.
+        """Sends changed neighbours at once, and the weights periodically.
 
         Args:
           divided: whether the cells were recomputed.
--- a/src/marlramp/direct/fleet/relay_context.py
+++ b/src/marlramp/direct/fleet/relay_context.py
@@ -53,7 +53,7 @@
     def places(self) -> Mapping[str, relay_assignment.Location]:
         """Returns the locations of the entries that relay pieces, by VM.
 
-        They include this entry, unless it is leaving: then it needs none.
+        They include this entry. The result is empty while it is leaving.
         """
         if self._sync.roster.own.state is members.MemberState.LEAVING:
             return {}
--- a/src/marlramp/direct/fleet/send_reservations.py
+++ b/src/marlramp/direct/fleet/send_reservations.py
@@ -27,7 +27,7 @@
 """Timeout of a request to a limiter."""
 
 SILENT_MS = 1_000.0
-"""How long a limiter that did not reply is requested after the others."""
+"""How long a limiter that did not reply is tried only after the others."""
 
 NO_LIMITER_PAUSE_MS = 200.0
 """Pause before the next reservation after no limiter has replied."""
@@ -37,8 +37,8 @@
 request could not wait long enough."""
 
 DENIALS_PER_S_MAX = 40.0
-"""Denied requests per second that a limiter aims at, from all entries together.
-The pauses that it assigns to them grow with the number of entries."""
+"""Most requests per second that a limiter denies, from all entries together.
+The pauses that it assigns therefore grow with the number of denied entries."""
 
 DENIED_MS = 1_000.0
 """How long an entry whose request was denied counts as waiting."""
@@ -47,7 +47,7 @@
 
 
 class SendReservations:
-    """Requests reservations from limiters and makes them as a limiter."""
+    """Requests reservations from limiters, and makes them as a limiter."""
 
     def __init__(
         self,
@@ -182,7 +182,7 @@
             async with asyncio.timeout(REPLY_MAX_MS / _MS):
                 return await future
         except TimeoutError:
-            # The next limiter is requested instead.
+            # The caller tries the next limiter.
             return None
         finally:
             del self._pending[request.number]
@@ -265,8 +265,8 @@
         """Returns the pause after which a denied entry may request again."""
         now_ms = self._clock.now_ms()
         self._denied_ms[name] = now_ms
-        for other, elapsed_ms in list(self._denied_ms.items()):
-            if now_ms - elapsed_ms >= DENIED_MS:
+        for other, denied_ms in list(self._denied_ms.items()):
+            if now_ms - denied_ms >= DENIED_MS:
                 del self._denied_ms[other]
         return _MS * len(self._denied_ms) / DENIALS_PER_S_MAX
 
@@ -300,7 +300,7 @@
         )
 
     def _rate(self, replica_id: str) -> float | None:
-        """Returns this entry's reservation rate per s, None if unlimited."""
+        """Returns the rate per second to reserve at, None without limit."""
         per_s = self._known.limits.per_s(replica_id)
         if per_s is None:
             return None
--- a/tests/direct/fleet/conftest.py
+++ b/tests/direct/fleet/conftest.py
@@ -1,4 +1,4 @@
-"""Fleets of entries in virtual time."""
+"""Fixtures that start fleets of entries in virtual time."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @pytest.fixture
 def start_fleet() -> virtual_fleet.StartFleet:
-    """Starts entries at once and lets them meet."""
+    """Returns a function that starts entries and lets them find each other."""
 
     def start(
         count: int, regions: int = 3, seed: int = 1
--- a/tests/direct/fleet/limited_fleet.py
+++ b/tests/direct/fleet/limited_fleet.py
@@ -1,6 +1,7 @@
-"""Entries in virtual time that send to replicas which name limits.
+"""Simulates entries that send to rate-limited replicas, in virtual time.
 
-`python -m tests.direct.fleet.limited_fleet` compares ways to keep a limit.
+`python -m tests.direct.fleet.limited_fleet` compares strategies that enforce a
+limit.
 """
 
 from __future__ import annotations
@@ -27,14 +28,14 @@
 
 SERVICE = ids.ServiceId("s")
 ANSWER_MS = 45.0
-WAY_MS = (1.0, 4.0)
+PATH_LATENCY_MS = (1.0, 4.0)
 OBJECTIVE_MS = 200.0
 CONTACT_MS = 1_000.0 * named_limit.CONTACT_S
 _MS = clock.MILLIS_PER_SECOND
 
 
-class Way(enum.Enum):
-    """How entries keep a limit together."""
+class Strategy(enum.Enum):
+    """Strategies by which entries enforce a limit together."""
 
     RESERVED = "reserved"
     OWNER = "owner sends alone"
@@ -42,7 +43,7 @@
 
 
 class Replica:
-    """A plain replica and its limit."""
+    """A replica without an engine, and its rate limit."""
 
     def __init__(self, number: int, regions: int) -> None:
         self.listed = fleet.Replica(
@@ -58,16 +59,16 @@
         self.need = named_limit.NamedLimit()
 
     def name(self, per_s: float | None) -> None:
-        """Names a limit, or none any more."""
+        """Announces a limit, or with None that there is no limit."""
         self.need.name("" if per_s is None else str(per_s))
 
-    def between(self, start_ms: float, end_ms: float) -> int:
-        """Returns the requests that reached it in some time."""
+    def requests_between(self, start_ms: float, end_ms: float) -> int:
+        """Returns the number of requests that arrived in a period."""
         return self.need.used(start_ms / _MS, (end_ms - start_ms) / _MS)
 
 
 class LimitedFleet(virtual_fleet.VirtualFleet):
-    """A fleet of entries on an event loop in virtual time."""
+    """A fleet of entries that send requests on a loop in virtual time."""
 
     def __init__(
         self,
@@ -75,12 +76,12 @@
         replicas: int,
         regions: int = 3,
         seed: int = 1,
-        way: Way = Way.RESERVED,
+        strategy: Strategy = Strategy.RESERVED,
     ) -> None:
         self._loop = asyncio.get_running_loop()
         assert isinstance(self._loop, virtual_time.VirtualLoop)
         self.virtual = virtual_time.VirtualClock(self._loop)
-        self.way = way
+        self.strategy = strategy
         self.replicas = {f"i-{n}": Replica(n, regions) for n in range(replicas)}
         self.known = catalog.Catalog()
         self.known.apply(
@@ -107,31 +108,32 @@
         self._loop.call_later(in_ms / _MS, event)
 
     async def sleep(self, ms: float) -> None:
-        """Lets time pass."""
+        """Advances the virtual time."""
         await asyncio.sleep(ms / _MS)
 
     async def load(
         self, per_s: float, ms: float, entries: Collection[str] = ()
     ) -> None:
-        """Sends requests for some time.
+        """Sends requests for a period.
 
         Args:
-          per_s: requests a second, in all.
-          ms: how long.
-          entries: names of those that get them, drawn evenly; all if empty.
+          per_s: requests per second of the whole fleet.
+          ms: length of the period.
+          entries: names of the entries that get the requests, picked
+            uniformly at random; all if empty.
         """
         end_ms = self.virtual.now_ms() + ms
         while True:
             await self.sleep(self.rng.expovariate(per_s) * _MS)
             if self.virtual.now_ms() >= end_ms:
                 return
-            able = [
+            candidates = [
                 entry
                 for entry in self.running()
                 if not entry.suspended
                 and (not entries or entry.name in entries)
             ]
-            task = asyncio.create_task(self._call(self.rng.choice(able)))
+            task = asyncio.create_task(self._call(self.rng.choice(candidates)))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
@@ -153,20 +155,22 @@
                 wait_max_ms=2_000.0,
                 objective_ms=OBJECTIVE_MS,
             )
-            places = upstream_choice.PreferredLocations(
+            locations = upstream_choice.PreferredLocations(
                 {entry.member.data_centre}
             )
             views = entry.table.of(SERVICE)
-            choice = admission.decide(views, request, places, now_ms, self.rng)
+            choice = admission.decide(
+                views, request, locations, now_ms, self.rng
+            )
             if not isinstance(choice, upstream_choice.Choice):
                 self.refused += 1
                 return
             wait_ms = 0.0
             if choice.view.limit is not None:
-                found = await self._reserve(entry, choice)
-                if found is None:
+                reserved_ms = await self._reserve(entry, choice)
+                if reserved_ms is None:
                     continue
-                wait_ms = found
+                wait_ms = reserved_ms
             await self.sleep(wait_ms)
             await self._send(entry, choice.view)
             return
@@ -176,13 +180,13 @@
     ) -> float | None:
         view = choice.view
         wait_max_ms = choice.limit_wait_max_ms
-        if self.way is Way.RESERVED:
+        if self.strategy is Strategy.RESERVED:
             return await entry.limits.reserve(view, wait_max_ms)
         limit = view.limit
         assert limit is not None
         now_ms = self.virtual.now_ms()
         per_s = limit.per_s
-        if self.way is Way.SHARES:
+        if self.strategy is Strategy.SHARES:
             per_s /= len(self.running())
         elif entry.limits.limiters_of(view)[0] != entry.name:
             limit.reserve_from_ms = now_ms + 100.0
@@ -190,9 +194,9 @@
         key = (entry.name, view.replica.replica_id)
         if key not in self._shares:
             self._shares[key] = send_limiter.SendLimiter(now_ms, per_s)
-        meter = self._shares[key]
-        wait_ms = meter.reserve(now_ms, per_s, wait_max_ms)
-        limit.next_ms = now_ms + meter.next_in_ms(now_ms, per_s)
+        limiter = self._shares[key]
+        wait_ms = limiter.reserve(now_ms, per_s, wait_max_ms)
+        limit.next_ms = now_ms + limiter.next_in_ms(now_ms, per_s)
         if wait_ms is None:
             limit.reserve_from_ms = now_ms + 20.0
         return wait_ms
@@ -203,13 +207,13 @@
         replica = self.replicas[view.replica.replica_id]
         sent_ms = self.virtual.now_ms()
         view.record_sent(0, sent_ms)
-        await self.sleep(self.rng.uniform(*WAY_MS))
+        await self.sleep(self.rng.uniform(*PATH_LATENCY_MS))
         name = f"{entry.name}/{sent_ms}"
         replica.need.arrived(name)
         await self.sleep(ANSWER_MS)
         named = replica.need.headers(name).get("server_limit")
         per_s = None if named is None else float(named)
-        await self.sleep(self.rng.uniform(*WAY_MS))
+        await self.sleep(self.rng.uniform(*PATH_LATENCY_MS))
         if not entry.running:
             return
         view.record_ended()
@@ -218,7 +222,7 @@
 
 
 def answer(per_s: float | None) -> wire.ReplicaAnswer:
-    """Returns a good answer that names a limit, or none."""
+    """Returns a successful answer with a limit, or without one."""
     return wire.ReplicaAnswer(
         status=200,
         mine=True,
@@ -232,80 +236,82 @@
     )
 
 
-def play(use: Callable[[], Awaitable[None]]) -> None:
+def play(run: Callable[[], Awaitable[None]]) -> None:
     """Runs a coroutine in virtual time."""
     loop = virtual_time.VirtualLoop()
     try:
-        loop.run_until_complete(_whole(use))
+        loop.run_until_complete(_run_and_cancel_rest(run))
     finally:
         loop.close()
 
 
-async def _whole(use: Callable[[], Awaitable[None]]) -> None:
-    await use()
+async def _run_and_cancel_rest(run: Callable[[], Awaitable[None]]) -> None:
+    await run()
     rest = asyncio.all_tasks() - {asyncio.current_task()}
     for task in rest:
         task.cancel()
     await asyncio.gather(*rest, return_exceptions=True)
 
 
-async def _compare(way: Way, count: int, limited: int, per_s: float) -> None:
+async def _compare(
+    strategy: Strategy, count: int, limited: int, per_s: float
+) -> None:
     replicas = 12
-    played = LimitedFleet(count, replicas, way=way, seed=3)
-    await played.sleep(6_000.0)
+    simulated = LimitedFleet(count, replicas, strategy=strategy, seed=3)
+    await simulated.sleep(6_000.0)
     rate = 40.0
-    await played.load(rate, 2_000.0)
-    start_ms = played.virtual.now_ms()
-    for replica in list(played.replicas.values())[:limited]:
+    await simulated.load(rate, 2_000.0)
+    start_ms = simulated.virtual.now_ms()
+    for replica in list(simulated.replicas.values())[:limited]:
         replica.name(per_s)
-    sent = {e.name: limit_bytes(e) for e in played.running()}
-    served, refused = played.served, played.refused
+    sent = {e.name: limit_bytes(e) for e in simulated.running()}
+    served, refused = simulated.served, simulated.refused
     need_ms = 19_000.0
-    await played.load(rate, need_ms)
-    named = list(played.replicas.values())[:limited]
+    await simulated.load(rate, need_ms)
+    named = list(simulated.replicas.values())[:limited]
     counted_s = (need_ms - CONTACT_MS) / _MS
-    end_ms = played.virtual.now_ms()
+    end_ms = simulated.virtual.now_ms()
     used = [
-        r.between(start_ms + CONTACT_MS, end_ms) / (per_s * counted_s)
+        r.requests_between(start_ms + CONTACT_MS, end_ms) / (per_s * counted_s)
         for r in named
     ]
     rates = [
         (limit_bytes(e) - sent.get(e.name, 0)) / (need_ms / _MS)
-        for e in played.running()
+        for e in simulated.running()
     ]
-    made = played.served - served + played.refused - refused
+    made = simulated.served - served + simulated.refused - refused
     print(
-        f"| {way.value} | {count} | {limited} of {replicas}, {per_s} | "
+        f"| {strategy.value} | {count} | {limited} of {replicas}, {per_s} | "
         f"{max(r.need.most_in_window() for r in named)} of "
         f"{named_limit.allowed_in_window(per_s)} | "
         f"{min(used):.2f}, {sum(used) / len(used):.2f} | "
-        f"{(played.served - served) / made:.3f} | "
+        f"{(simulated.served - served) / made:.3f} | "
         f"{sum(rates) / len(rates):.0f}, {max(rates):.0f} |",
         flush=True,
     )
 
 
 def limit_bytes(entry: virtual_fleet.VirtualEntry) -> int:
-    """Returns the bytes that an entry sent about limits."""
+    """Returns the bytes of an entry's messages about limits."""
     kinds = ("LimitNews", "LimitRequest", "SendRequest", "SendReply")
     return sum(entry.kind_bytes[k] for k in (*kinds, "SendReserved"))
 
 
 def main() -> None:
-    """Prints the comparison."""
+    """Prints the comparison as rows of a table."""
     for count in [int(arg) for arg in sys.argv[1:]] or [3, 8, 44]:
         for limited, per_s in ((5, 1.0), (12, 2.0)):
-            for way in Way:
+            for strategy in Strategy:
 
-                async def use(
-                    way: Way = way,
+                async def run(
+                    strategy: Strategy = strategy,
                     count: int = count,
                     limited: int = limited,
                     per_s: float = per_s,
                 ) -> None:
-                    await _compare(way, count, limited, per_s)
+                    await _compare(strategy, count, limited, per_s)
 
-                play(use)
+                play(run)
 
 
 if __name__ == "__main__":
--- a/tests/direct/fleet/test_agent_coordinator.py
+++ b/tests/direct/fleet/test_agent_coordinator.py
@@ -33,8 +33,8 @@
 AGENTS = [member(f"agent-{n}", members.MemberKind.AGENT) for n in range(60)]
 
 
-class Sent(member_sync.MemberSync):
-    """Keeps what is sent instead of sending it."""
+class RecordingSync(member_sync.MemberSync):
+    """Records messages instead of sending them."""
 
     def __init__(self, time: clock.Clock) -> None:
         super().__init__(
@@ -50,99 +50,107 @@
     def suspect(self, vm_id: str) -> None:
         self.suspected.append(vm_id)
 
-    def note(self, agent: members.Member, state: members.MemberState) -> None:
-        """Takes an agent's state as its own word."""
+    def record_state(
+        self, agent: members.Member, state: members.MemberState
+    ) -> None:
+        """Records a state that an agent reports itself."""
         incarnation = self.roster.changes + 1
-        news = members.MemberUpdate(agent, incarnation, state)
-        self.roster.apply_direct(news, self._clock.now_ms())
+        update = members.MemberUpdate(agent, incarnation, state)
+        self.roster.apply_direct(update, self._clock.now_ms())
 
     def neighbours(self) -> dict[str, fleet_messages.Neighbours]:
-        """Returns the last neighbours told to each agent, and forgets all."""
-        told = {
+        """Returns the last neighbours sent to each agent; clears the record."""
+        sent = {
             vm_id: message
             for vm_id, message in self.sent
             if isinstance(message, fleet_messages.Neighbours)
         }
         self.sent.clear()
-        return told
+        return sent
 
 
-class Guided:
-    """A guide and what it tells."""
+class Coordinated:
+    """A coordinator and the messages that it sends."""
 
     def __init__(self, time: clock.ManualClock) -> None:
         self.time = time
-        self.sync = Sent(time)
+        self.sync = RecordingSync(time)
         known = catalog.Catalog()
         known.apply([catalog.ConfigChange(1, CONFIG)], time.now_ms())
         self.placed = placement.Placement(REGIONS, self.sync, time)
-        self.guide = agent_coordinator.AgentCoordinator(
+        self.coordinator = agent_coordinator.AgentCoordinator(
             known, self.placed, self.sync, time
         )
 
     def tick(self) -> dict[str, fleet_messages.Neighbours]:
-        """Lets members settle; returns the neighbours told."""
+        """Ticks after the cells have settled; returns the neighbours sent."""
         self.time.advance(placement.SETTLE_MS)
-        self.guide.tick(divided=self.placed.refresh())
+        self.coordinator.tick(divided=self.placed.refresh())
         return self.sync.neighbours()
 
 
 @pytest.fixture
-def guided(time: clock.ManualClock) -> Guided:
-    return Guided(time)
-
-
-def test_agents_without_an_engine_take_no_part(guided: Guided) -> None:
-    guided.sync.note(AGENTS[0], members.MemberState.READY)
-    guided.sync.note(AGENTS[1], members.MemberState.STARTING)
-    told = guided.tick()
-    assert set(told) == {"agent-0", "agent-1"}
-    assert told["agent-1"].joined == [AGENTS[0]]
-    guided.sync.note(AGENTS[0], members.MemberState.STARTING)
-    told = guided.tick()
-    assert told["agent-1"].left == ["agent-0"]
-
-
-def test_agents_are_told_again_now_and_then(guided: Guided) -> None:
-    guided.sync.note(AGENTS[0], members.MemberState.READY)
-    guided.tick()
-    guided.time.advance(agent_coordinator.REFRESH_MS)
-    guided.guide.tick(divided=False)
-    sent = [message for _, message in guided.sync.sent]
+def coordinated(time: clock.ManualClock) -> Coordinated:
+    return Coordinated(time)
+
+
+def test_agents_without_an_engine_are_no_neighbours(
+    coordinated: Coordinated,
+) -> None:
+    coordinated.sync.record_state(AGENTS[0], members.MemberState.READY)
+    coordinated.sync.record_state(AGENTS[1], members.MemberState.STARTING)
+    sent = coordinated.tick()
+    assert set(sent) == {"agent-0", "agent-1"}
+    assert sent["agent-1"].joined == [AGENTS[0]]
+    coordinated.sync.record_state(AGENTS[0], members.MemberState.STARTING)
+    sent = coordinated.tick()
+    assert sent["agent-1"].left == ["agent-0"]
+
+
+def test_agents_are_sent_weights_periodically(coordinated: Coordinated) -> None:
+    coordinated.sync.record_state(AGENTS[0], members.MemberState.READY)
+    coordinated.tick()
+    coordinated.time.advance(agent_coordinator.REFRESH_MS)
+    coordinated.coordinator.tick(divided=False)
+    sent = [message for _, message in coordinated.sync.sent]
     assert [type(message) for message in sent] == [fleet_messages.Guide]
 
 
-def test_agents_that_join_together_are_told_once_and_only_what_is_new(
-    guided: Guided,
+def test_agents_that_join_together_cause_one_incremental_update(
+    coordinated: Coordinated,
 ) -> None:
     for agent in AGENTS[:4]:
-        guided.sync.note(agent, members.MemberState.READY)
-    guided.tick()
+        coordinated.sync.record_state(agent, members.MemberState.READY)
+    coordinated.tick()
     for agent in AGENTS[4:]:
-        guided.sync.note(agent, members.MemberState.READY)
-    told = guided.tick()
-    assert len(told["agent-0"].joined) == len(AGENTS) - 4
-    assert told["agent-0"].after == 1
-    assert guided.tick() == {}
+        coordinated.sync.record_state(agent, members.MemberState.READY)
+    sent = coordinated.tick()
+    assert len(sent["agent-0"].joined) == len(AGENTS) - 4
+    assert sent["agent-0"].after == 1
+    assert coordinated.tick() == {}
 
 
-def test_agent_that_missed_changes_is_told_all(guided: Guided) -> None:
+def test_agent_that_missed_changes_is_sent_everything(
+    coordinated: Coordinated,
+) -> None:
     for agent in AGENTS[:3]:
-        guided.sync.note(agent, members.MemberState.READY)
-    guided.tick()
-    guided.guide.send_full_update("agent-0")
-    told = guided.sync.neighbours()["agent-0"]
-    assert told.after == 0
-    assert [entry.vm_id for entry in told.entries] == ["entry-1"]
-    assert {agent.vm_id for agent in told.joined} == {
+        coordinated.sync.record_state(agent, members.MemberState.READY)
+    coordinated.tick()
+    coordinated.coordinator.send_full_update("agent-0")
+    sent = coordinated.sync.neighbours()["agent-0"]
+    assert sent.after == 0
+    assert [entry.vm_id for entry in sent.entries] == ["entry-1"]
+    assert {agent.vm_id for agent in sent.joined} == {
         agent.vm_id for agent in AGENTS[:3]
     }
 
 
-def test_silent_agent_is_suspected_by_its_guides(guided: Guided) -> None:
-    guided.sync.note(AGENTS[0], members.MemberState.READY)
-    guided.tick()
-    assert guided.sync.suspected == []
-    guided.time.advance(members.ALIVE_MS)
-    guided.tick()
-    assert guided.sync.suspected == ["agent-0"]
+def test_silent_agent_is_suspected_by_its_coordinators(
+    coordinated: Coordinated,
+) -> None:
+    coordinated.sync.record_state(AGENTS[0], members.MemberState.READY)
+    coordinated.tick()
+    assert coordinated.sync.suspected == []
+    coordinated.time.advance(members.ALIVE_MS)
+    coordinated.tick()
+    assert coordinated.sync.suspected == ["agent-0"]
--- a/tests/direct/fleet/test_crash_backup.py
+++ b/tests/direct/fleet/test_crash_backup.py
@@ -1,4 +1,4 @@
-"""Agents keep what entries know of crashing requests."""
+"""Agents keep a backup of the crash ledger of entries."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class NoLinks:
-    """Links that carry nothing."""
+    """Links that deliver no message."""
 
     def open(self, name: str, host: str, port: int) -> bool:
         return True
@@ -35,8 +35,8 @@
         return False
 
 
-class Keeper:
-    """A keeper and what it sent to entries."""
+class BackupAgent:
+    """A crash backup and the messages that it sent to entries."""
 
     def __init__(self, time: clock.Clock) -> None:
         self.sent: list[tuple[str, msgspec.Struct]] = []
@@ -48,12 +48,12 @@
             lambda _: None,
             time,
         )
-        self.keeper = crash_backup.CrashBackup(
+        self.backup = crash_backup.CrashBackup(
             self.contacts, self._send, time, random.Random(1)
         )
 
-    def meet(self, names: list[str]) -> None:
-        """Has the agent deal with some entries."""
+    def connect(self, names: list[str]) -> None:
+        """Connects the agent to some entries."""
         entries = [
             members.Member(name, members.MemberKind.ENTRY, "dc", name, 1)
             for name in names
@@ -72,9 +72,9 @@
 
 
 @pytest.fixture
-def keeper(time: clock.ManualClock) -> Keeper:
-    """A keeper that knows no crash."""
-    return Keeper(time)
+def agent(time: clock.ManualClock) -> BackupAgent:
+    """A backup without crashes."""
+    return BackupAgent(time)
 
 
 def crash(number: int) -> crash_ledger.Crash:
@@ -82,80 +82,80 @@
     return crash_ledger.Crash(ids.CrashId(f"i-{number}@1"), 0.0, [suspect])
 
 
-def test_entry_that_knows_nothing_is_told_all(keeper: Keeper) -> None:
-    news = fleet_messages.CrashNews(crashes=[crash(n) for n in range(3)])
-    keeper.keeper.on_message("entry-0", news)
+def test_entry_that_knows_no_crash_is_sent_all(agent: BackupAgent) -> None:
+    message = fleet_messages.CrashNews(crashes=[crash(n) for n in range(3)])
+    agent.backup.on_message("entry-0", message)
     empty = crash_ledger.CrashLedger().digests()
     request = fleet_messages.CrashRequest(digests=empty)
-    keeper.keeper.on_message("entry-1", request)
-    name, told = keeper.sent[0]
+    agent.backup.on_message("entry-1", request)
+    name, sent = agent.sent[0]
     assert name == "entry-1"
-    assert isinstance(told, fleet_messages.CrashNews)
-    assert {each.crash_id for each in told.crashes} == {
-        each.crash_id for each in news.crashes
+    assert isinstance(sent, fleet_messages.CrashNews)
+    assert {each.crash_id for each in sent.crashes} == {
+        each.crash_id for each in message.crashes
     }
 
 
-def test_keeper_asks_an_entry_that_knows_more(
-    keeper: Keeper, time: clock.ManualClock
+def test_backup_requests_crashes_from_an_entry_that_knows_more(
+    agent: BackupAgent, time: clock.ManualClock
 ) -> None:
     entry = crash_ledger.CrashLedger()
     entry.merge(crash(0), time.now_ms())
     request = fleet_messages.CrashRequest(digests=entry.digests())
-    keeper.keeper.on_message("entry-0", request)
-    assert [type(message) for _, message in keeper.sent] == [
+    agent.backup.on_message("entry-0", request)
+    assert [type(message) for _, message in agent.sent] == [
         fleet_messages.CrashRequest
     ]
 
 
-def test_keeper_that_knows_the_same_is_silent(
-    keeper: Keeper, time: clock.ManualClock
+def test_backup_sends_nothing_to_an_entry_with_equal_ledger(
+    agent: BackupAgent, time: clock.ManualClock
 ) -> None:
     entry = crash_ledger.CrashLedger()
     entry.merge(crash(0), time.now_ms())
-    news = fleet_messages.CrashNews(crashes=[crash(0)])
-    keeper.keeper.on_message("entry-0", news)
+    message = fleet_messages.CrashNews(crashes=[crash(0)])
+    agent.backup.on_message("entry-0", message)
     request = fleet_messages.CrashRequest(digests=entry.digests())
-    keeper.keeper.on_message("entry-0", request)
-    assert keeper.sent == []
+    agent.backup.on_message("entry-0", request)
+    assert agent.sent == []
 
 
 def test_each_digest_goes_to_another_entry(
-    keeper: Keeper, time: clock.ManualClock
+    agent: BackupAgent, time: clock.ManualClock
 ) -> None:
-    keeper.meet(["entry-0", "entry-1", "entry-2"])
+    agent.connect(["entry-0", "entry-1", "entry-2"])
     for _ in range(6):
-        keeper.keeper.tick()
+        agent.backup.tick()
         time.advance(crash_backup.DIGEST_MS)
-    names = [name for name, _ in keeper.sent]
+    names = [name for name, _ in agent.sent]
     assert sorted(names[:3]) == sorted(names[3:])
     assert sorted(names[:3]) == ["entry-0", "entry-1", "entry-2"]
 
 
-def test_first_digest_is_told_as_soon_as_an_entry_is_known(
-    keeper: Keeper, time: clock.ManualClock
+def test_first_digest_is_sent_as_soon_as_an_entry_is_known(
+    agent: BackupAgent, time: clock.ManualClock
 ) -> None:
-    keeper.keeper.tick()
-    assert keeper.sent == []
-    keeper.meet(["entry-0"])
+    agent.backup.tick()
+    assert agent.sent == []
+    agent.connect(["entry-0"])
     time.advance(1.0)
-    keeper.keeper.tick()
-    assert [name for name, _ in keeper.sent] == ["entry-0"]
+    agent.backup.tick()
+    assert [name for name, _ in agent.sent] == ["entry-0"]
 
 
-def test_next_digest_waits_longer_the_more_was_told(
-    keeper: Keeper, time: clock.ManualClock
+def test_next_digest_is_delayed_by_the_crashes_sent(
+    agent: BackupAgent, time: clock.ManualClock
 ) -> None:
-    keeper.meet(["entry-0"])
-    keeper.keeper.tick()
-    news = fleet_messages.CrashNews(
+    agent.connect(["entry-0"])
+    agent.backup.tick()
+    message = fleet_messages.CrashNews(
         crashes=[crash(n) for n in range(10)], answers=True
     )
-    keeper.keeper.on_message("entry-0", news)
+    agent.backup.on_message("entry-0", message)
     wait_ms = crash_backup.DIGEST_MS + 10 * crash_backup.PAUSE_PER_CRASH_MS
     time.advance(wait_ms - 1.0)
-    keeper.keeper.tick()
-    assert len(keeper.sent) == 1
+    agent.backup.tick()
+    assert len(agent.sent) == 1
     time.advance(1.0)
-    keeper.keeper.tick()
-    assert len(keeper.sent) == 2
+    agent.backup.tick()
+    assert len(agent.sent) == 2
--- a/tests/direct/fleet/test_crash_sharing.py
+++ b/tests/direct/fleet/test_crash_sharing.py
@@ -1,4 +1,4 @@
-"""Entries and agents share what is known of crashing requests."""
+"""Entries and agents synchronise their crash ledgers."""
 
 from __future__ import annotations
 
@@ -16,42 +16,42 @@
 SEEDS = range(20)
 
 SEEDS_OF_FAILURES = [1148, 2067]
-"""Those of 3,000 at which entries knew one of three crashes while they asked
-one agent a second."""
+"""Seeds, of 3,000, with which entries knew one of three crashes while they sent
+requests to one agent per second."""
 
 JOIN_MS = 690.0
-"""Agents join an entry over this long."""
+"""Period in which the agents join."""
 
 JOINED_BEFORE = 5
-"""Agents that have joined when the third crash comes."""
+"""Number of agents that have joined when the third crash happens."""
 
-AWAKE_MS = 2_600.0
-AWAY_MS = 400.0
+RUNNING_MS = 2_600.0
+DOWN_MS = 400.0
 START_MS = 500.0
-"""Entries end this long after the last agent joined, all are away this long,
-and start this long one after the other."""
+"""Time from the last agent's joining to the end of all entries, time for which
+no entry runs, and time between the starts of two entries."""
 
 LEARNT_MS = 1_000.0
-"""An agent that joins knows what entries do this long after it."""
+"""Time in which an agent that joins learns what entries know."""
 
 BOUND_MS = 3_000.0
-"""Entries that start anew know what agents do this long after it."""
+"""Time in which entries that restart learn what agents know."""
 
 CONTROL_BYTES_PER_S = 10_000.0
-"""What a daemon may send of control."""
+"""Limit of the control traffic that one daemon sends."""
 
 SUSPECTS = 8
-"""Requests under way at each crash of a full ledger."""
+"""Requests in flight at each crash of a full ledger."""
 
 CELLS = [(16, 28), (3, 60)]
-"""Entries and agents: of a cell at the letter's size (630 before 1,100 VMs),
-and of one with many agents."""
+"""Numbers of entries and agents: of a cell at the size that the users state
+(630 entries for 1,100 VMs), and of a cell with many agents."""
 
 
 def crash(
     fleet: virtual_fleet.VirtualFleet, name: str, number: int
 ) -> crash_ledger.Crash:
-    """Has one entry notice a crash under the culprit."""
+    """Records at one entry a crash with the culprit in flight."""
     crash_id = crash_ledger.crash_id(f"i-{number}", 1)
     fleet.entries[name].crashes.add_suspect(
         crash_id, CULPRIT, begun=False, now_ms=fleet.time.now_ms()
@@ -61,16 +61,16 @@
     )
 
 
-def tell_agent(
-    fleet: virtual_fleet.VirtualFleet, number: int, told: crash_ledger.Crash
+def notify_agent(
+    fleet: virtual_fleet.VirtualFleet, number: int, reported: crash_ledger.Crash
 ) -> None:
-    """Has an agent hear of a crash as one of those that are told at once."""
-    news = fleet_messages.CrashNews(crashes=[told])
-    fleet.agents[f"agent-{number}"].on_message("entry-0", news)
+    """Sends an agent a crash, as it is sent to some agents at once."""
+    message = fleet_messages.CrashNews(crashes=[reported])
+    fleet.agents[f"agent-{number}"].on_message("entry-0", message)
 
 
-def ignorant_entries(fleet: virtual_fleet.VirtualFleet) -> list[str]:
-    """Returns the entries that would send the culprit."""
+def entries_without_block(fleet: virtual_fleet.VirtualFleet) -> list[str]:
+    """Returns the entries that do not block the culprit."""
     return [
         entry.name
         for entry in fleet.running()
@@ -78,20 +78,20 @@
     ]
 
 
-def ignorant_agents(fleet: virtual_fleet.VirtualFleet) -> list[str]:
-    """Returns the agents that lack what the first entry knows."""
+def agents_that_differ(fleet: virtual_fleet.VirtualFleet) -> list[str]:
+    """Returns the agents whose ledger differs from the first entry's."""
     known = fleet.entries["entry-0"].crash_digest
     return [
         agent.name
         for agent in fleet.agents.values()
-        if agent.keeper.digest != known
+        if agent.crash_backup.digest != known
     ]
 
 
 def join_agents_around_the_third_crash(
     fleet: virtual_fleet.VirtualFleet,
 ) -> None:
-    """Has two crashes come before any agent joins, and one meanwhile."""
+    """Records two crashes before any agent joins, and one in between."""
     crash(fleet, "entry-0", 0)
     crash(fleet, "entry-1", 1)
     for number in range(AGENTS):
@@ -99,48 +99,48 @@
         fleet.run(JOIN_MS / AGENTS)
         if number == JOINED_BEFORE - 1:
             third = crash(fleet, "entry-2", 2)
-            told = fleet.rng.sample(
+            reported = fleet.rng.sample(
                 range(JOINED_BEFORE), crash_sync.AGENT_TARGETS
             )
-            for each in told:
-                tell_agent(fleet, each, third)
+            for each in reported:
+                notify_agent(fleet, each, third)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_agents_that_join_after_crashes_know_them_soon(
+def test_agents_that_join_after_crashes_learn_them(
     start_fleet: virtual_fleet.StartFleet, seed: int
 ) -> None:
     fleet = start_fleet(ENTRIES, seed=seed)
     join_agents_around_the_third_crash(fleet)
     fleet.run(LEARNT_MS)
-    assert ignorant_agents(fleet) == []
+    assert agents_that_differ(fleet) == []
 
 
 @pytest.mark.parametrize("seed", [*SEEDS, *SEEDS_OF_FAILURES])
-def test_entries_that_all_ended_know_what_agents_do(
+def test_entries_that_all_restart_recover_crashes_from_agents(
     start_fleet: virtual_fleet.StartFleet, seed: int
 ) -> None:
     fleet = start_fleet(ENTRIES, seed=seed)
     join_agents_around_the_third_crash(fleet)
-    fleet.run(AWAKE_MS)
+    fleet.run(RUNNING_MS)
     for number in range(ENTRIES):
         fleet.stop(f"entry-{number}")
-    fleet.run(AWAY_MS)
+    fleet.run(DOWN_MS)
     for number in range(ENTRIES):
         fleet.run(START_MS)
         fleet.start(number, incarnation=2_000)
     fleet.run(BOUND_MS)
-    assert ignorant_entries(fleet) == []
+    assert entries_without_block(fleet) == []
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_entries_that_all_ended_find_the_one_agent_that_knows(
+def test_entries_that_all_restart_find_the_only_agent_that_knows(
     start_fleet: virtual_fleet.StartFleet, seed: int
 ) -> None:
     fleet = start_fleet(ENTRIES, seed=seed)
     for number in range(AGENTS):
         fleet.start_agent(number)
-    told = [
+    reported = [
         crash_ledger.Crash(
             crash_ledger.crash_id(f"i-{number}", 1),
             0.0,
@@ -148,13 +148,13 @@
         )
         for number in range(3)
     ]
-    # Eight agents know one crash or none, as those that joined late did.
+    # Eight agents know one crash or none, like agents that joined late.
     for number in range(AGENTS // 2):
-        tell_agent(fleet, number, told[2])
-    for each in told:
-        tell_agent(fleet, AGENTS - 1, each)
+        notify_agent(fleet, number, reported[2])
+    for each in reported:
+        notify_agent(fleet, AGENTS - 1, each)
     fleet.run(BOUND_MS)
-    assert ignorant_entries(fleet) == []
+    assert entries_without_block(fleet) == []
 
 
 def _full_ledger(prefix: str) -> list[crash_ledger.Crash]:
@@ -175,10 +175,10 @@
 
 
 def fill_entries(fleet: virtual_fleet.VirtualFleet) -> None:
-    """Has all entries hold as many crashes as they may, the same ones."""
-    for told in _full_ledger("x"):
+    """Fills the ledgers of all entries with identical crashes."""
+    for reported in _full_ledger("x"):
         for entry in fleet.running():
-            entry.crashes.ledger.merge(told, fleet.time.now_ms())
+            entry.crashes.ledger.merge(reported, fleet.time.now_ms())
 
 
 def _most_sent_per_s(
@@ -186,7 +186,7 @@
     fleet: virtual_fleet.VirtualFleet,
     ms: float,
 ) -> float:
-    """Returns what the one that sends most does in the mean."""
+    """Returns the mean bytes per second of the process that sends most."""
     before = [each.sent_bytes for each in processes]
     fleet.run(ms)
     sent = [each.sent_bytes for each in processes]
@@ -195,7 +195,7 @@
 
 
 @pytest.mark.parametrize(("entries", "agents"), CELLS)
-def test_start_of_all_agents_beside_full_ledgers_costs_little(
+def test_start_of_all_agents_with_full_ledgers_limits_traffic(
     start_fleet: virtual_fleet.StartFleet, entries: int, agents: int
 ) -> None:
     fleet = start_fleet(entries, regions=1)
@@ -208,7 +208,7 @@
 
 
 @pytest.mark.parametrize(("entries", "agents"), CELLS)
-def test_full_ledgers_of_agents_that_differ_cost_little(
+def test_different_full_ledgers_of_agents_limit_traffic(
     start_fleet: virtual_fleet.StartFleet, entries: int, agents: int
 ) -> None:
     fleet = start_fleet(entries, regions=1)
@@ -216,8 +216,8 @@
         fleet.start_agent(number)
     fill_entries(fleet)
     for agent in fleet.agents.values():
-        news = fleet_messages.CrashNews(crashes=_full_ledger(agent.name))
-        agent.on_message("entry-0", news)
+        message = fleet_messages.CrashNews(crashes=_full_ledger(agent.name))
+        agent.on_message("entry-0", message)
     processes = [*fleet.running(), *fleet.agents.values()]
     fleet.run(10_000.0)
     sent = _most_sent_per_s(processes, fleet, 20_000.0)
--- a/tests/direct/fleet/test_crash_sync.py
+++ b/tests/direct/fleet/test_crash_sync.py
@@ -1,4 +1,4 @@
-"""Entries share what they know of crashing requests, in virtual time."""
+"""Entries synchronise their crash ledgers, in virtual time."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 CULPRIT = ids.Fingerprint("culprit")
 BOUND_MS = 3_000.0
-"""All entries know of a crash this long after it."""
+"""Time in which all entries learn of a crash."""
 
 CONTROL_BYTES_PER_S = 10_000.0
-"""What a daemon may send of control."""
+"""Limit of the control traffic that one daemon sends."""
 
 OTHERS = 10
-"""Other requests under way at each crash."""
+"""Other requests in flight at each crash."""
 
 
 def crash(fleet: virtual_fleet.VirtualFleet, name: str, number: int) -> None:
-    """Has one entry notice a crash under the culprit and some others."""
+    """Records at one entry a crash with the culprit and others in flight."""
     crash_id = crash_ledger.crash_id(f"i-{number}", 1)
     others = [ids.Fingerprint(f"{number}-{n}") for n in range(OTHERS)]
     for request in (CULPRIT, *others):
@@ -30,8 +30,8 @@
         )
 
 
-def ignorant(fleet: virtual_fleet.VirtualFleet) -> list[str]:
-    """Returns the entries that would send the culprit."""
+def entries_without_block(fleet: virtual_fleet.VirtualFleet) -> list[str]:
+    """Returns the entries that do not block the culprit."""
     return [
         entry.name
         for entry in fleet.running()
@@ -47,11 +47,11 @@
     for number in range(3):
         crash(fleet, f"entry-{number}", number)
     fleet.run(BOUND_MS)
-    assert ignorant(fleet) == []
+    assert entries_without_block(fleet) == []
 
 
 @pytest.mark.parametrize("loss", [0.05, 0.2])
-def test_lost_messages_do_not_keep_crashes_from_anybody(
+def test_crashes_reach_all_entries_despite_lost_messages(
     start_fleet: virtual_fleet.StartFleet, loss: float
 ) -> None:
     fleet = start_fleet(44)
@@ -59,7 +59,7 @@
     for number in range(3):
         crash(fleet, f"entry-{number}", number)
     fleet.run(BOUND_MS)
-    assert ignorant(fleet) == []
+    assert entries_without_block(fleet) == []
 
 
 def test_entry_that_starts_later_knows_within_the_bound(
@@ -74,7 +74,7 @@
     fleet.start(4, incarnation=2_000)
     fleet.start(7)
     fleet.run(BOUND_MS)
-    assert ignorant(fleet) == []
+    assert entries_without_block(fleet) == []
 
 
 def test_entry_that_was_cut_off_knows_within_the_bound_after_it(
@@ -87,12 +87,12 @@
     fleet.run(2_000.0)
     for number in range(2):
         crash(fleet, f"entry-{number}", number)
-    # The one that is cut off saw the third itself.
+    # The entry that is cut off noticed the third crash itself.
     crash(fleet, "entry-9", 2)
     fleet.run(10_000.0)
     fleet.cut.clear()
     fleet.run(BOUND_MS)
-    assert ignorant(fleet) == []
+    assert entries_without_block(fleet) == []
 
 
 def test_entry_that_was_suspended_knows_within_the_bound_after_it(
@@ -105,7 +105,7 @@
     fleet.run(8_000.0)
     fleet.entries["entry-5"].suspended = False
     fleet.run(BOUND_MS)
-    assert ignorant(fleet) == []
+    assert entries_without_block(fleet) == []
 
 
 def test_halves_that_saw_one_crash_each_agree_after_a_cut(
@@ -120,22 +120,22 @@
     crash(fleet, "entry-7", 1)
     crash(fleet, "entry-8", 2)
     fleet.run(6_000.0)
-    assert set(ignorant(fleet)) == one | other
+    assert set(entries_without_block(fleet)) == one | other
     fleet.cut.clear()
     fleet.run(BOUND_MS)
-    assert ignorant(fleet) == []
+    assert entries_without_block(fleet) == []
 
 
-def test_nothing_is_told_of_crashes_while_nothing_changes(
+def test_no_crash_message_is_sent_while_nothing_changes(
     start_fleet: virtual_fleet.StartFleet,
 ) -> None:
     fleet = start_fleet(44)
     for number in range(50):
         crash(fleet, f"entry-{number % 44}", number)
     fleet.run(10_000.0)
-    before = _told_of_crashes(fleet)
+    before = _crash_messages(fleet)
     fleet.run(10_000.0)
-    assert _told_of_crashes(fleet) == before
+    assert _crash_messages(fleet) == before
 
 
 def test_storm_of_crashes_stays_within_the_control_budget(
@@ -150,7 +150,7 @@
     assert sum(sent) / len(sent) < CONTROL_BYTES_PER_S
 
 
-def test_entry_that_starts_beside_full_ledgers_knows_within_the_bound(
+def test_entry_that_starts_among_full_ledgers_knows_within_the_bound(
     start_fleet: virtual_fleet.StartFleet,
 ) -> None:
     fleet = start_fleet(7)
@@ -167,13 +167,13 @@
     fleet.run(8_000.0)
     fleet.start(7)
     fleet.run(BOUND_MS)
-    assert ignorant(fleet) == []
+    assert entries_without_block(fleet) == []
 
 
-def test_ledgers_that_overflow_at_once_cost_little(
+def test_ledgers_that_overflow_at_once_limit_traffic(
     start_fleet: virtual_fleet.StartFleet,
 ) -> None:
-    # Each entry forgets other crashes, since news reach it at other times.
+    # Entries drop different crashes, since updates arrive at different times.
     fleet = start_fleet(12)
     for number in range(2 * crash_ledger.CRASHES_MAX):
         crash(fleet, f"entry-{number % 12}", number)
@@ -181,10 +181,10 @@
     assert _bytes_per_s(fleet, 20_000.0) < CONTROL_BYTES_PER_S
 
 
-def test_full_ledgers_that_differ_cost_little(
+def test_full_ledgers_that_differ_limit_traffic(
     start_fleet: virtual_fleet.StartFleet, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Each entry forgets other crashes, since news reach it at other times.
+    # Entries drop different crashes, since updates arrive at different times.
     monkeypatch.setattr(crash_ledger, "CRASHES_MAX", 80)
     fleet = start_fleet(12)
     for number in range(240):
@@ -195,7 +195,7 @@
 
 
 def _bytes_per_s(fleet: virtual_fleet.VirtualFleet, ms: float) -> float:
-    """Returns what an entry sends in the mean while time passes."""
+    """Advances time; returns the mean bytes per second of an entry."""
     running = fleet.running()
     before = sum(entry.sent_bytes for entry in running)
     fleet.run(ms)
@@ -203,8 +203,8 @@
     return sent / len(running) / ms * 1_000.0
 
 
-def _told_of_crashes(fleet: virtual_fleet.VirtualFleet) -> int:
-    """Returns the messages about crashes that entries have sent."""
+def _crash_messages(fleet: virtual_fleet.VirtualFleet) -> int:
+    """Returns the number of messages about crashes that entries sent."""
     kinds = (fleet_messages.CrashNews, fleet_messages.CrashRequest)
     return sum(
         entry.sent_kinds[kind.__name__]
--- a/tests/direct/fleet/test_engine_digests.py
+++ b/tests/direct/fleet/test_engine_digests.py
@@ -18,8 +18,10 @@
 REGIONS = {"dc-1": "north", "dc-2": "south"}
 
 
-def member(name: str, kind: members.MemberKind, place: str) -> members.Member:
-    return members.Member(name, kind, place, "127.0.0.1", 1)
+def member(
+    name: str, kind: members.MemberKind, data_centre: str
+) -> members.Member:
+    return members.Member(name, kind, data_centre, "127.0.0.1", 1)
 
 
 ENTRIES = [
@@ -31,8 +33,8 @@
 ]
 
 
-class Sent(member_sync.MemberSync):
-    """Keeps what is sent instead of sending it."""
+class RecordingSync(member_sync.MemberSync):
+    """Records messages instead of sending them."""
 
     def __init__(self, own: members.Member, time: clock.Clock) -> None:
         near = {own.data_centre}
@@ -42,8 +44,10 @@
         self.sent: list[tuple[list[str], fleet_messages.EngineDigest]] = []
         for other in [*ENTRIES, *AGENTS]:
             if other != own:
-                news = members.MemberUpdate(other, 1, members.MemberState.READY)
-                self.roster.apply_direct(news, time.now_ms())
+                update = members.MemberUpdate(
+                    other, 1, members.MemberState.READY
+                )
+                self.roster.apply_direct(update, time.now_ms())
 
     def send_all(self, vm_ids: Iterable[str], message: msgspec.Struct) -> None:
         assert isinstance(message, fleet_messages.EngineDigest)
@@ -51,24 +55,24 @@
 
 
 class Entry:
-    """One entry's digests."""
+    """One entry with its digests."""
 
     def __init__(self, own: members.Member, time: clock.ManualClock) -> None:
-        self.sync = Sent(own, time)
+        self.sync = RecordingSync(own, time)
         placed = placement.Placement(REGIONS, self.sync, time)
         placed.refresh()
-        self.taken: list[tuple[str, float]] = []
+        self.reports: list[tuple[str, float]] = []
         self.digests = engine_digests.EngineDigests(
             placed,
             self.sync,
-            lambda report, told_ms: self.taken.append(
-                (report.address, told_ms)
+            lambda report, made_ms: self.reports.append(
+                (report.address, made_ms)
             ),
             time,
         )
 
     def report(self, number: int, running: int = 1) -> None:
-        """Takes the report of an agent."""
+        """Handles the report of an agent."""
         report = replica_view.LoadReport(
             address=f"engine-{number}",
             weights=1,
@@ -85,7 +89,7 @@
     return [Entry(e, time) for e in ENTRIES if e.data_centre == "dc-1"]
 
 
-def test_one_entry_of_a_cell_tells_one_of_each_other_cell(
+def test_one_entry_of_a_cell_sends_to_one_of_each_other_cell(
     north: list[Entry], time: clock.ManualClock
 ) -> None:
     for entry in north:
@@ -101,7 +105,7 @@
     assert [aged.age_ms for aged in digest.reports] == [100.0]
 
 
-def test_digest_is_bounded_and_names_engines_with_room(
+def test_digest_is_bounded_and_contains_the_least_loaded_engines(
     north: list[Entry],
 ) -> None:
     for entry in north:
@@ -113,7 +117,7 @@
     assert max(aged.report.running for aged in digest.reports) == 32
 
 
-def test_old_reports_and_lost_engines_are_not_told(
+def test_old_reports_and_lost_engines_are_not_sent(
     north: list[Entry], time: clock.ManualClock
 ) -> None:
     for entry in north:
@@ -126,7 +130,7 @@
         assert entry.sync.sent == []
 
 
-def test_digest_goes_on_to_the_own_cell_once(
+def test_digest_is_forwarded_to_the_own_cell_once(
     north: list[Entry], time: clock.ManualClock
 ) -> None:
     time.advance(1_000.0)
@@ -142,9 +146,9 @@
     aged = fleet_messages.AgedReport(report, 200.0)
     digest = fleet_messages.EngineDigest(reports=[aged], pass_on=True)
     entry.digests.on_digest(digest)
-    assert entry.taken == [("engine-9", time.now_ms() - 200.0)]
-    ((receivers, onward),) = entry.sync.sent
+    assert entry.reports == [("engine-9", time.now_ms() - 200.0)]
+    ((receivers, forwarded),) = entry.sync.sent
     assert set(receivers) == {"entry-2", "entry-4"}
-    assert not onward.pass_on
-    entry.digests.on_digest(onward)
+    assert not forwarded.pass_on
+    entry.digests.on_digest(forwarded)
     assert len(entry.sync.sent) == 1
--- a/tests/direct/fleet/test_load_exchange.py
+++ b/tests/direct/fleet/test_load_exchange.py
@@ -38,8 +38,8 @@
     )
 
 
-class Sent(member_sync.MemberSync):
-    """Keeps what is sent instead of sending it."""
+class RecordingSync(member_sync.MemberSync):
+    """Records messages instead of sending them."""
 
     def __init__(self, time: clock.Clock) -> None:
         super().__init__(
@@ -59,16 +59,16 @@
 
 
 @pytest.fixture
-def sync(time: clock.ManualClock) -> Sent:
-    found = Sent(time)
+def sync(time: clock.ManualClock) -> RecordingSync:
+    found = RecordingSync(time)
     for member in (entry("entry-2"), entry("entry-3", "dc-2")):
-        news = members.MemberUpdate(member, 1, members.MemberState.READY)
-        found.roster.apply_direct(news, time.now_ms())
+        update = members.MemberUpdate(member, 1, members.MemberState.READY)
+        found.roster.apply_direct(update, time.now_ms())
     return found
 
 
 @pytest.fixture
-def placed(sync: Sent, time: clock.ManualClock) -> placement.Placement:
+def placed(sync: RecordingSync, time: clock.ManualClock) -> placement.Placement:
     found = placement.Placement({"dc-1": "north", "dc-2": "south"}, sync, time)
     found.refresh()
     return found
@@ -86,7 +86,7 @@
 @pytest.fixture
 def exchange(
     placed: placement.Placement,
-    sync: Sent,
+    sync: RecordingSync,
     table: replica_table.ReplicaTable,
     time: clock.ManualClock,
 ) -> load_exchange.LoadExchange:
@@ -95,9 +95,9 @@
     )
 
 
-def test_only_entries_of_the_cell_are_told(
+def test_only_entries_of_the_cell_receive_loads(
     exchange: load_exchange.LoadExchange,
-    sync: Sent,
+    sync: RecordingSync,
     table: replica_table.ReplicaTable,
     time: clock.ManualClock,
 ) -> None:
@@ -117,17 +117,17 @@
     assert sync.sent[-1][1].loads == [peer_loads.OwnLoad("i-1", 1, 0)]
 
 
-def test_loads_of_an_entry_that_fell_silent_end(
+def test_loads_of_a_silent_entry_are_removed(
     exchange: load_exchange.LoadExchange,
     placed: placement.Placement,
-    sync: Sent,
+    sync: RecordingSync,
     table: replica_table.ReplicaTable,
     time: clock.ManualClock,
 ) -> None:
     view = table.get("i-1")
     assert view is not None
-    told = fleet_messages.OwnLoads(loads=[peer_loads.OwnLoad("i-1", 3, 900)])
-    exchange.on_message("entry-2", told)
+    report = fleet_messages.OwnLoads(loads=[peer_loads.OwnLoad("i-1", 3, 900)])
+    exchange.on_message("entry-2", report)
     assert view.others_in_flight == 3
     sync.roster.suspect("entry-2", time.now_ms())
     time.advance(members.ALIVE_MS + load_exchange.REFRESH_MS)
--- a/tests/direct/fleet/test_named_weights.py
+++ b/tests/direct/fleet/test_named_weights.py
@@ -10,7 +10,7 @@
 
 
 class Store:
-    """A store that counts what is read of it."""
+    """A store that counts its reads."""
 
     def __init__(self, *versions: int) -> None:
         self.all_reads = 0
@@ -31,7 +31,7 @@
         return catalog.Snapshot(9, self.changes)
 
 
-def learn(store: Store, run_s: float) -> named_weights.NamedWeights:
+def read_store(store: Store, run_s: float) -> named_weights.NamedWeights:
     weights = named_weights.NamedWeights(lambda _: None, clock.SystemClock())
 
     async def main() -> None:
@@ -43,15 +43,15 @@
     return weights
 
 
-def test_agent_that_starts_reads_only_the_weights_named() -> None:
+def test_starting_agent_reads_only_announced_weights() -> None:
     store = Store(2, 3)
-    wanted = learn(store, 0.1).wanted()
+    wanted = read_store(store, 0.1).wanted()
     assert wanted is not None
     assert (wanted.model, wanted.version) == ("m", 3)
     assert (store.all_reads, store.target_reads) == (0, 1)
 
 
-def test_agent_asks_less_often_while_nothing_is_named() -> None:
+def test_agent_backs_off_while_no_version_is_announced() -> None:
     store = Store()
-    assert learn(store, 1.0).wanted() is None
+    assert read_store(store, 1.0).wanted() is None
     assert 1 < store.target_reads <= 4
--- a/tests/direct/fleet/test_retry_shares.py
+++ b/tests/direct/fleet/test_retry_shares.py
@@ -1,4 +1,4 @@
-"""What entries spend of one retry budget, in virtual time."""
+"""Entries together stay within one retry budget, in virtual time."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 WINDOW_MS = 10_000.0
 STEP_MS = 50.0
 REQUEST_MS = 2_000.0
-"""Between two requests that one entry takes."""
+"""Time between two requests that one entry receives."""
 INCARNATION = 1_000
 
 
-class Spenders:
-    """Entries that repeat requests whenever their budget lets them."""
+class RetryingEntries:
+    """Entries that retry requests whenever their budget allows it."""
 
     def __init__(self, fleet: virtual_fleet.VirtualFleet) -> None:
         self.fleet = fleet
         self.spent_ms: list[float] = []
-        self.taken_ms: list[float] = []
+        self.received_ms: list[float] = []
         self._request_ms = 0.0
         self._shares = {name: self._share() for name in fleet.entries}
 
@@ -30,7 +30,7 @@
         return retry_share.RetryShare(RATIO, SLACK, WINDOW_MS)
 
     def run(self, ms: float) -> None:
-        """Lets all of them spend for some time."""
+        """Lets all entries retry for a period."""
         end_ms = self.fleet.time.now_ms() + ms
         while self.fleet.time.now_ms() < end_ms:
             self._spend()
@@ -38,20 +38,20 @@
 
     def _spend(self) -> None:
         now_ms = self.fleet.time.now_ms()
-        taken = now_ms - self._request_ms >= REQUEST_MS
-        if taken:
+        received = now_ms - self._request_ms >= REQUEST_MS
+        if received:
             self._request_ms = now_ms
         for name, share in self._shares.items():
             roster = self.fleet.entries[name].sync.roster
             known = roster.count(members.MemberKind.ENTRY)
-            if taken:
+            if received:
                 share.record_request(now_ms)
-                self.taken_ms.append(now_ms)
+                self.received_ms.append(now_ms)
             while share.try_spend(known, now_ms):
                 self.spent_ms.append(now_ms)
 
     def restart(self) -> None:
-        """Ends all entries and starts them again."""
+        """Stops all entries and restarts them."""
         for number, name in enumerate(list(self.fleet.entries)):
             self.fleet.stop(name)
             now_ms = self.fleet.time.now_ms()
@@ -59,10 +59,10 @@
             self._shares[name] = self._share()
 
     def most_slack(self) -> float:
-        """Returns the most repeats in any window beyond the ratio."""
+        """Returns the most retries in any window beyond the ratio."""
         return max(
             _between(self.spent_ms, start_ms)
-            - RATIO * _between(self.taken_ms, start_ms)
+            - RATIO * _between(self.received_ms, start_ms)
             for start_ms in sorted(set(self.spent_ms))
         )
 
@@ -72,17 +72,17 @@
 
 
 def test_entries_that_start_at_once_spend_no_more_than_the_slack() -> None:
-    # Entries that had heard of nobody took each other for 8 in all.
-    spenders = Spenders(virtual_fleet.VirtualFleet(ENTRIES))
-    spenders.run(25_000.0)
-    assert 0.0 < spenders.most_slack() <= SLACK
+    # Entries that knew no other entry assumed a fleet of 8 entries.
+    entries = RetryingEntries(virtual_fleet.VirtualFleet(ENTRIES))
+    entries.run(25_000.0)
+    assert 0.0 < entries.most_slack() <= SLACK
 
 
 def test_entries_that_restart_do_not_spend_their_parts_again() -> None:
-    # What an entry had spent before its restart was forgotten.
-    spenders = Spenders(virtual_fleet.VirtualFleet(ENTRIES))
+    # A restarted entry did not know what it had spent before.
+    entries = RetryingEntries(virtual_fleet.VirtualFleet(ENTRIES))
     for pause_ms in (14_000.0, 4_000.0, 4_500.0, 15_000.0):
-        spenders.run(pause_ms)
-        spenders.restart()
-    spenders.run(15_000.0)
-    assert 0.0 < spenders.most_slack() <= SLACK
+        entries.run(pause_ms)
+        entries.restart()
+    entries.run(15_000.0)
+    assert 0.0 < entries.most_slack() <= SLACK
--- a/tests/direct/fleet/virtual_fleet.py
+++ b/tests/direct/fleet/virtual_fleet.py
@@ -1,4 +1,4 @@
-"""Entries that know one another, and agents, over links in virtual time."""
+"""Simulates entries and agents with links between them, in virtual time."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class Alone:
-    """The rest of an entry that has nothing to say."""
+    """The surroundings of a membership that ignore all events."""
 
     revision = 0
     crash_digest = 0
@@ -52,7 +52,7 @@
 
 
 class VirtualEntry:
-    """An entry's membership and its end of all links."""
+    """An entry with its membership, crashes, limits and ends of links."""
 
     def __init__(
         self, fleet: VirtualFleet, number: int, incarnation: int
@@ -170,16 +170,16 @@
         return self.send_encoded(name, codec.encode_once(message))
 
     def send_encoded(self, name: str, message: codec.Encoded) -> bool:
-        heard_as = self.fleet.names.get((self.name, name))
+        sender_name = self.fleet.names.get((self.name, name))
         target: Process | None = self.fleet.entries.get(name)
         if name in self.fleet.agents:
             target = self.fleet.agents[name]
-            heard_as = self.name
-        elif heard_as is None or target is None:
+            sender_name = self.name
+        elif sender_name is None or target is None:
             if name not in self.opened:
                 return False
             target = self.opened[name]
-            heard_as = self.name
+            sender_name = self.name
         if target is not None:
             size = len(message.data)
             self.sent_bytes += size
@@ -187,12 +187,12 @@
             self.kind_bytes[message.kind] += size
             if target.member.data_centre != self.member.data_centre:
                 self.sent_far_bytes += size
-            self.fleet.carry(self, target, heard_as, message.data)
+            self.fleet.carry(self, target, sender_name, message.data)
         return True
 
 
 class VirtualAgent:
-    """An agent's part in keeping crashes; it deals with all entries."""
+    """An agent with its crash backup, in contact with all entries."""
 
     def __init__(self, fleet: VirtualFleet, number: int) -> None:
         self.fleet = fleet
@@ -210,7 +210,7 @@
             self.member, 1, [], lambda _: None, lambda _: None, fleet.time
         )
         self.contacts.attach(self)
-        self.keeper = crash_backup.CrashBackup(
+        self.crash_backup = crash_backup.CrashBackup(
             self.contacts,
             self.send,
             fleet.time,
@@ -221,8 +221,8 @@
     def name(self) -> str:
         return self.member.vm_id
 
-    def meet(self) -> None:
-        """Hears from one entry which ones it deals with."""
+    def connect(self) -> None:
+        """Receives the list of running entries from one of them."""
         entries = [entry.member for entry in self.fleet.running()]
         message = fleet_messages.Neighbours(
             after=0, number=1, entries=entries, joined=[], left=[]
@@ -231,7 +231,7 @@
         self.contacts.tick()
 
     def on_message(self, name: str, message: fleet_messages.FromMember) -> None:
-        self.keeper.on_message(name, message)
+        self.crash_backup.on_message(name, message)
 
     # Links.
 
@@ -256,7 +256,7 @@
 
 
 class VirtualFleet:
-    """Entries in some regions, the first three of them seeds."""
+    """Entries in several regions, of which the first three are seeds."""
 
     def __init__(
         self,
@@ -283,31 +283,31 @@
             self.start(number)
 
     def start(self, number: int, incarnation: int = 1_000) -> VirtualEntry:
-        """Starts an entry, also again after it was stopped."""
+        """Starts an entry, or restarts one that was stopped."""
         entry = VirtualEntry(self, number, incarnation)
         self.entries[entry.name] = entry
         self._at(self.rng.uniform(0.0, 300.0), lambda: self._tick(entry))
         return entry
 
     def start_agent(self, number: int) -> VirtualAgent:
-        """Starts an agent, which meets all entries that run."""
+        """Starts an agent that is in contact with all running entries."""
         agent = VirtualAgent(self, number)
         self.agents[agent.name] = agent
-        agent.meet()
+        agent.connect()
         self._at(
             self.rng.uniform(0.0, TICK_MS), lambda: self._tick_agent(agent)
         )
         return agent
 
     def stop(self, name: str) -> None:
-        """Ends an entry without a word."""
+        """Stops an entry without a message to the others."""
         self.entries[name].running = False
         for pair in list(self.names):
             if name in pair:
                 del self.names[pair]
 
     def at(self, host: str) -> VirtualEntry | None:
-        """Returns the entry at an address."""
+        """Returns the entry at an address, None if there is none."""
         for entry in self.entries.values():
             if entry.member.host == host:
                 return entry
@@ -316,7 +316,7 @@
     def carry(
         self, sender: Process, to: Process, name: str, data: bytes
     ) -> None:
-        """Delivers a message later, unless something is in the way."""
+        """Delivers a message later, unless it is lost or the path is cut."""
         if (sender.name, to.name) in self.cut or self.rng.random() < self.loss:
             return
 
@@ -327,7 +327,7 @@
         self._at(self.rng.uniform(*DELAY_MS), deliver)
 
     def run(self, ms: float) -> None:
-        """Lets time pass."""
+        """Advances the virtual time and runs the events that are due."""
         end_ms = self.time.now_ms() + ms
         while self._events and self._events[0][0] <= end_ms:
             at_ms, _, event = heapq.heappop(self._events)
@@ -336,16 +336,16 @@
         self.manual.advance(end_ms - self.time.now_ms())
 
     def running(self) -> list[VirtualEntry]:
-        """Returns the entries that run."""
+        """Returns the running entries."""
         return [entry for entry in self.entries.values() if entry.running]
 
     def alive_to(self, entry: VirtualEntry) -> set[str]:
-        """Returns the others that an entry takes as alive."""
+        """Returns the other entries that an entry considers alive."""
         alive = entry.sync.alive(members.MemberKind.ENTRY)
         return {member.vm_id for member in alive}
 
     def agreed(self) -> bool:
-        """Returns whether all know exactly those that run."""
+        """Returns whether each running entry knows exactly the other ones."""
         running = {entry.name for entry in self.running()}
         return all(
             self.alive_to(entry) == running - {entry.name}
@@ -353,11 +353,11 @@
         )
 
     def run_until_agreed(self, limit_ms: float) -> float:
-        """Lets time pass until all agree; returns how long that took."""
+        """Advances time until all entries agree, and returns the duration."""
         start_ms = self.time.now_ms()
         while not self.agreed():
-            taken_ms = self.time.now_ms() - start_ms
-            assert taken_ms < limit_ms, self._differences()
+            elapsed_ms = self.time.now_ms() - start_ms
+            assert elapsed_ms < limit_ms, self._differences()
             self.run(TICK_MS)
         return self.time.now_ms() - start_ms
 
@@ -380,7 +380,7 @@
         self._at(TICK_MS, lambda: self._tick(entry))
 
     def _tick_agent(self, agent: VirtualAgent) -> None:
-        agent.keeper.tick()
+        agent.crash_backup.tick()
         self._at(TICK_MS, lambda: self._tick_agent(agent))
 
     def _at(self, in_ms: float, event: Callable[[], None]) -> None:
