--- a/src/marlramp/agent/daemon.py
+++ b/src/marlramp/agent/daemon.py
@@ -193,7 +193,7 @@
         async with asyncio.TaskGroup() as group:
             tasks = safely.start_all(group, works, self._totals, self._clock)
             await self._stopping.wait()
-            await self._runs.idle()
+            await self._runs.wait_idle()
             await asyncio.sleep(DRAIN_LINGER_MS / 1000)
             for task in tasks:
                 task.cancel()
@@ -210,9 +210,9 @@
             return ids.VersionId("")
         return self._rollout.serving_version()
 
-    def version_surprise(self, version: ids.VersionId) -> None:
+    def handle_unexpected_version(self, version: ids.VersionId) -> None:
         """Reports an answer stamped with a version that was not expected."""
-        self._rollout.version_surprise(version)
+        self._rollout.handle_unexpected_version(version)
 
     def suspend(self) -> None:
         """Voids grants and takes no new work."""
@@ -228,9 +228,9 @@
             self._send_report()
             self._issue_grants()
 
-    async def idle(self) -> None:
+    async def wait_idle(self) -> None:
         """Returns when no run is in progress."""
-        await self._runs.idle()
+        await self._runs.wait_idle()
 
     # Messages from entries.
 
@@ -258,7 +258,7 @@
             case messages.SettingsOffer():
                 self._sync.offer(message.documents, entry_id)
             case messages.SwapAnswer():
-                self._permits.answered(entry_id, message)
+                self._permits.handle_answer(entry_id, message)
             case messages.ReportRequest():
                 self._on_link_open(entry_id)
             case messages.DrainOrder():
--- a/src/marlramp/agent/rollout.py
+++ b/src/marlramp/agent/rollout.py
@@ -1,4 +1,10 @@
-"""Brings the engine on this VM to the version that the settings ask for."""
+"""Brings the engine on this VM to the version in the rollout settings.
+
+The controller fetches and verifies the weights, stages them in the engine and
+swaps the engine to them. An engine that can hold two versions loads the new
+one while it serves the old one. Any other engine stops serving first, which
+needs a permit from every entry that the agent hears from.
+"""
 
 from __future__ import annotations
 
@@ -19,43 +25,48 @@
 from marlramp.settings import schema
 
 OBSERVE_INTERVAL_MS = 400.0
+"""Interval at which the state of the engine is read."""
+
 STEP_RETRY_MS = 300.0
 STEP_RETRY_MAX_MS = 10_000.0
-PERMIT_LOOK_MS = 20.0
-"""Interval of looks at the permits that have come."""
+"""First and longest wait before a failed rollout step is retried; the wait
+doubles with each failure in a row."""
+
+PERMIT_POLL_MS = 20.0
+"""Interval at which the state of the permit requests is polled."""
 
 PREVIOUS_WAIT_MS = 5_000.0
-"""Longest wait for the manifest of the version served before."""
+"""Longest wait for the manifest of the previous version."""
 
 
 class Permits(Protocol):
-    """Asks all entries for permission to stop serving."""
+    """Requests permits to stop serving from all entries."""
 
-    def ask(self, version: ids.VersionId) -> None:
-        """Sends a request to every entry heard from."""
+    def request(self, version: ids.VersionId) -> None:
+        """Requests a permit from every entry that the agent hears from."""
         ...
 
-    def standing(self) -> swap.AttemptState:
-        """Returns whether every entry heard from permits the swap now."""
+    def state(self) -> swap.AttemptState:
+        """Returns whether the agent now holds the permits of all entries."""
         ...
 
     def withdraw(self) -> None:
-        """Gives the permits back."""
+        """Ends the attempt and returns its permits."""
         ...
 
 
 class Serving(Protocol):
-    """Opens and closes the agent for new work."""
+    """Controls whether the agent accepts new runs."""
 
     def suspend(self) -> None:
-        """Voids grants and takes no new work."""
+        """Voids all grants and accepts no new runs."""
         ...
 
     def resume(self) -> None:
-        """Takes work again unless the agent is leaving."""
+        """Accepts runs again unless the agent is leaving."""
         ...
 
-    async def idle(self) -> None:
+    async def wait_idle(self) -> None:
         """Returns when no run is in progress."""
         ...
 
@@ -75,7 +86,19 @@
         *,
         holds_two_versions: bool,
     ) -> None:
-        """Calls `on_change` whenever the reported state changes."""
+        """Creates a controller without a rollout.
+
+        Args:
+          engine: engine to swap.
+          node: fetches manifests and weights.
+          permits: permits to stop serving.
+          serving: suspends and resumes the runs of this agent.
+          totals: counters.
+          time: the clock.
+          on_change: called whenever the state to report changes.
+          holds_two_versions: whether the engine can load a version while it
+            serves another.
+        """
         self._engine = engine
         self._node = node
         self._permits = permits
@@ -96,7 +119,7 @@
 
     @property
     def target(self) -> guard.Target | None:
-        """The version the settings ask for, once its manifest is known."""
+        """The version to serve, None until its manifest is known."""
         return self._target
 
     @property
@@ -106,11 +129,11 @@
 
     @property
     def verdict(self) -> guard.Verdict:
-        """What may be served, as of the last look at the engine."""
+        """What the engine may serve, by its state when last read."""
         return self._verdict
 
     def serving_version(self) -> ids.VersionId | None:
-        """Returns the verified version, None when nothing may be served."""
+        """Returns the verified version served, None if none may be served."""
         verdict = self._guard.verdict(self._target, self._clock.now_ms())
         state = self._guard.state
         if verdict is guard.Verdict.CLOSED or state is None or self._swapping:
@@ -118,11 +141,14 @@
         return state.serving
 
     def reported_version(self) -> ids.VersionId:
-        """Returns the version to report to entries, empty if none."""
+        """Returns the version served, an empty text if there is none."""
         return self.serving_version() or ids.VersionId("")
 
-    def version_surprise(self, version: ids.VersionId) -> None:
-        """Closes admission after an answer from an unexpected version."""
+    def handle_unexpected_version(self, version: ids.VersionId) -> None:
+        """Closes admission after an answer from an unexpected version.
+
+        Admission stays closed until the state of the engine has been read.
+        """
         logs.log("engine_version_surprise", version=version)
         self._guard.invalidate()
         self._apply_verdict()
@@ -130,7 +156,7 @@
     def set_rollout(
         self, rollout: schema.Rollout | None, revision: int
     ) -> None:
-        """Takes the rollout in force and the settings revision behind it."""
+        """Sets the rollout in force and the settings revision that holds it."""
         self._revision = max(revision, self._revision)
         if rollout != self._rollout:
             self._rollout = rollout
@@ -138,12 +164,12 @@
             self._rollout_changed.set()
 
     async def run(self) -> None:
-        """Observes the engine and follows the rollout for ever."""
+        """Observes the engine and follows the rollout until cancelled."""
         async with asyncio.TaskGroup() as group:
-            group.create_task(self._observe_all())
-            group.create_task(self._follow_all())
+            group.create_task(self._observe_engine())
+            group.create_task(self._follow_rollouts())
 
-    async def _observe_all(self) -> None:
+    async def _observe_engine(self) -> None:
         while True:
             await self._observe()
             await asyncio.sleep(OBSERVE_INTERVAL_MS / 1000)
@@ -171,7 +197,7 @@
         else:
             self._serving.resume()
 
-    async def _follow_all(self) -> None:
+    async def _follow_rollouts(self) -> None:
         while True:
             self._rollout_changed.clear()
             rollout = self._rollout
@@ -195,7 +221,10 @@
                 await asyncio.sleep(STEP_RETRY_MS / 1000)
 
     async def _follow(self, rollout: schema.Rollout) -> None:
-        """Brings the engine to one rollout and keeps it there."""
+        """Brings the engine to the target of a rollout and keeps it there.
+
+        Returns once the rollout has changed.
+        """
         await self._trust_previous(rollout)
         self._set_note("fetching manifest")
         digest = ids.Digest(rollout.manifest)
@@ -207,15 +236,15 @@
         self._guard.trust(version, ids.Digest(found.whole))
         await self._observe()
         failures = 0
-        # Not by comparing rollouts: one that was replaced and came back while
-        # its weights were loaded has lost its target.
+        # Comparing rollouts is not enough: a rollout that was replaced and then
+        # restored while its weights were loading has lost its target.
         while not self._rollout_changed.is_set():
             if self._verdict is guard.Verdict.SERVE_TARGET:
                 self._set_note("serving target")
                 await asyncio.sleep(OBSERVE_INTERVAL_MS / 1000)
                 continue
             try:
-                await self._approach(digest, version)
+                await self._fetch_and_swap(digest, version)
                 failures = 0
             except engine_client.EngineError as error:
                 logs.log("engine_order_failed", detail=repr(error))
@@ -225,7 +254,10 @@
                 await self._observe()
 
     async def _trust_previous(self, rollout: schema.Rollout) -> None:
-        """Learns the digest of the version served before, if it is named."""
+        """Trusts the digest of the previous version, if the rollout has one.
+
+        The engine may then go on serving that version until the swap.
+        """
         if rollout.previous_manifest is None:
             return
         digest = ids.Digest(rollout.previous_manifest)
@@ -239,12 +271,12 @@
         self._guard.trust(version, ids.Digest(previous.whole))
         self._apply_verdict()
 
-    async def _approach(
+    async def _fetch_and_swap(
         self, digest: ids.Digest, version: ids.VersionId
     ) -> None:
         self._set_note("fetching weights")
-        whole = await self._node.fetch(digest)
-        if not await asyncio.to_thread(whole.verify_digest):
+        chunk_set = await self._node.fetch(digest)
+        if not await asyncio.to_thread(chunk_set.verify_digest):
             raise engine_client.EngineError("weights differ from the manifest")
         target = self._target
         if target is None:
@@ -254,29 +286,29 @@
             await self._observe()
             await asyncio.sleep(STEP_RETRY_MS / 1000)
             return
-        await self._stage(version, whole)
+        await self._stage(version, chunk_set)
         if self._holds_two_versions:
-            await self._swap_beside(target)
+            await self._swap_while_serving(target)
         elif self._verdict is guard.Verdict.CLOSED:
             await self._swap_closed(target)
         else:
             await self._swap_permitted(target)
 
     async def _stage(
-        self, version: ids.VersionId, whole: manifest.ChunkSet
+        self, version: ids.VersionId, chunk_set: manifest.ChunkSet
     ) -> None:
         if self._staged != version:
             self._set_note("staging weights")
-            await self._engine.stage(version, whole)
+            await self._engine.stage(version, chunk_set)
             self._staged = version
 
-    async def _swap_beside(self, target: guard.Target) -> None:
-        """Loads beside the served version, then switches between requests."""
+    async def _swap_while_serving(self, target: guard.Target) -> None:
+        """Loads the target while the old version is served, then switches."""
         state = self._guard.state
         if state is None or state.loaded.get(target.version) != target.whole:
             self._set_note("loading beside")
             self._staged = None
-            await self._order(target, self._engine.load)
+            await self._send_order(target, self._engine.load)
             await self._observe()
         state = self._guard.state
         if state is None or state.loaded.get(target.version) != target.whole:
@@ -284,37 +316,40 @@
         await self._switch(target)
 
     async def _switch(self, target: guard.Target) -> None:
-        """Switches versions with no run in progress, so none is mixed."""
+        """Switches versions while no run is in progress.
+
+        A run that continued across the switch would mix two versions.
+        """
         self._swapping = True
         self._serving.suspend()
         try:
-            await self._serving.idle()
-            await self._order(target, self._engine.serve)
+            await self._serving.wait_idle()
+            await self._send_order(target, self._engine.serve)
         finally:
             self._swapping = False
             await self._observe()
             self._on_change()
 
     async def _swap_permitted(self, target: guard.Target) -> None:
-        """Stops serving once every entry permits it, then swaps."""
+        """Stops serving and swaps once the permits of all entries are held."""
         self._set_note("waiting for permits")
-        self._permits.ask(target.version)
+        self._permits.request(target.version)
         try:
-            if await self._permitted():
+            if await self._wait_permitted():
                 await self._swap_closed(target, needs_permits=True)
                 return
         finally:
-            # Two agents that each keep the permit of another entry would
-            # refuse each other for ever.
+            # Two agents that keep the permits of different entries would block
+            # each other for ever.
             self._permits.withdraw()
         wait_ms = random.uniform(swap.RETRY_MIN_MS, swap.RETRY_MAX_MS)
         await asyncio.sleep(wait_ms / clock.MILLIS_PER_SECOND)
 
-    async def _permitted(self) -> bool:
-        """Waits for all permits, for as long as they could be used."""
-        while self._permits.standing() is swap.AttemptState.WAITING:
-            await asyncio.sleep(PERMIT_LOOK_MS / clock.MILLIS_PER_SECOND)
-        return self._permits.standing() is swap.AttemptState.PERMITTED
+    async def _wait_permitted(self) -> bool:
+        """Waits until all permits are held or the attempt is over."""
+        while self._permits.state() is swap.AttemptState.WAITING:
+            await asyncio.sleep(PERMIT_POLL_MS / clock.MILLIS_PER_SECOND)
+        return self._permits.state() is swap.AttemptState.PERMITTED
 
     async def _swap_closed(
         self, target: guard.Target, *, needs_permits: bool = False
@@ -323,27 +358,35 @@
         self._swapping = True
         self._serving.suspend()
         try:
-            # A process that was paused meanwhile has told the entries too late.
+            # After a pause of this process the permits may have expired before
+            # the entries received the report that it suspended serving.
             if needs_permits and not self._still_permitted():
                 return
-            await self._serving.idle()
+            await self._serving.wait_idle()
             await self._observe()
             self._staged = None
-            await self._order(target, self._engine.load)
+            await self._send_order(target, self._engine.load)
         finally:
             self._swapping = False
             await self._observe()
             self._on_change()
 
     def _still_permitted(self) -> bool:
-        return self._permits.standing() is swap.AttemptState.PERMITTED
+        return self._permits.state() is swap.AttemptState.PERMITTED
 
-    async def _order(
+    async def _send_order(
         self,
         target: guard.Target,
         give: Callable[[ids.VersionId, int], object],
     ) -> None:
-        """Gives one order with a fresh fencing number, reading before it."""
+        """Sends an order to the engine with a new fencing number.
+
+        Reads the state of the engine first if the last reading is stale.
+
+        Raises:
+          engine_client.EngineError: if no fencing number is available, or if
+            the engine refuses the order or fails.
+        """
         if not self._guard.is_fresh(self._clock.now_ms()):
             await self._observe()
         fencing = self._guard.next_fencing(target)
--- a/src/marlramp/agent/runs.py
+++ b/src/marlramp/agent/runs.py
@@ -1,4 +1,4 @@
-"""Runs requests at the upstream and sends their answers in parts."""
+"""Runs requests at the upstream and sends their answers to entries in parts."""
 
 from __future__ import annotations
 
@@ -20,10 +20,11 @@
 from marlramp.shell import http
 
 FLUSH_INTERVAL_MS = 10.0
-"""Parts of all answers for one entry are sent together at this interval."""
+"""Interval at which the parts of all answers to an entry are sent together."""
 
 KEPT_BYTES_MAX = 16 * 1024 * 1024
-"""Answers of run tokens kept for a resend, in all."""
+"""Most bytes of answers that are kept in case their request is sent again. Only
+answers to requests that carry a run token are kept."""
 
 _DONE_EVENT = b"data: [DONE]\n\n"
 _DATA_PREFIX = b"data: "
@@ -33,14 +34,14 @@
 
 
 class Admission(Protocol):
-    """Tells which version may be served at this moment."""
+    """Decides which version may be served now."""
 
     def serving_version(self) -> ids.VersionId | None:
-        """Returns the verified version, None when nothing may be served."""
+        """Returns the verified version served, None if none may be served."""
         ...
 
-    def version_surprise(self, version: ids.VersionId) -> None:
-        """Reports an answer stamped with a version that was not expected."""
+    def handle_unexpected_version(self, version: ids.VersionId) -> None:
+        """Handles an answer that names an unexpected version."""
         ...
 
 
@@ -52,21 +53,21 @@
         ...
 
 
-class _Stamp(msgspec.Struct):
-    """The field of a completion event that names the model version."""
+class _VersionEvent(msgspec.Struct):
+    """The field of a completion event that holds the model version."""
 
     system_fingerprint: str = ""
 
 
 class _Subscriber(msgspec.Struct, frozen=True):
-    """Where an answer goes: an entry and its id of the try."""
+    """The receiver of an answer: an entry and its id of the attempt."""
 
     entry_id: ids.VmId
     request_id: ids.RequestId
 
 
 class _Output:
-    """The answer of one run and who receives it."""
+    """The answer of one run and the subscribers that receive it."""
 
     def __init__(self, subscriber: _Subscriber, *, kept: bool) -> None:
         self.subscribers = [subscriber]
@@ -79,7 +80,11 @@
 
 
 class RunService:
-    """Takes grants and relays between the upstream and entries."""
+    """Consumes grants and relays requests and answers.
+
+    Requests come from entries and run at the upstream; their answers go back
+    to the entries.
+    """
 
     def __init__(
         self,
@@ -92,7 +97,18 @@
         time: clock.Clock,
         on_finished: Callable[[], None],
     ) -> None:
-        """Runs at `upstream_url`; calls `on_finished` as capacity is freed."""
+        """Creates a service without runs.
+
+        Args:
+          ledger: grants of this agent.
+          client: sends requests to the upstream.
+          upstream_url: where the upstream listens.
+          admission: decides which version may be served.
+          outbox: sends messages to entries.
+          totals: counters.
+          time: the clock.
+          on_finished: called when a run ends and frees its capacity.
+        """
         self._on_finished = on_finished
         self._ledger = ledger
         self._client = client
@@ -112,15 +128,19 @@
             ids.VmId, dict[ids.RequestId, list[assembly.Part]]
         ] = {}
         self._flush_handle: asyncio.TimerHandle | None = None
-        self._stamp_decoder = msgspec.json.Decoder(_Stamp)
+        self._version_decoder = msgspec.json.Decoder(_VersionEvent)
 
     @property
     def paused(self) -> bool:
-        """Whether the upstream wants nothing now, by its own word."""
+        """Whether the upstream asked for a pause that has not ended."""
         return self._clock.now_ms() < self._paused_until_ms
 
     def start(self, entry_id: ids.VmId, run: messages.Run) -> None:
-        """Starts a run if its grant can be taken, else refuses it."""
+        """Starts a run if its grant can be consumed, else refuses it.
+
+        A repeated request with a run token receives the answer of its first
+        run.
+        """
         request_id = ids.RequestId(run.request_id)
         number = ids.GrantNumber(run.number)
         subscriber = _Subscriber(entry_id, request_id)
@@ -146,7 +166,7 @@
             self._refuse(subscriber, refusal.kind, refusal.ran)
 
     def cancel(self, entry_id: ids.VmId, cancel: messages.Cancel) -> None:
-        """Voids a grant, or stops its run, and tells what became of it."""
+        """Voids a grant or stops its run, and sends the state of the run."""
         number = ids.GrantNumber(cancel.number)
         state = self._ledger.cancel(
             ids.Incarnation(cancel.incarnation), number, self._clock.now_ms()
@@ -156,7 +176,7 @@
         self._send_status(entry_id, cancel.request_id, state)
 
     def query(self, entry_id: ids.VmId, query: messages.RunQuery) -> None:
-        """Tells what became of a grant."""
+        """Sends the state of the run of a grant to the entry."""
         state = self._ledger.state(
             ids.Incarnation(query.incarnation),
             ids.GrantNumber(query.number),
@@ -164,7 +184,7 @@
         )
         self._send_status(entry_id, query.request_id, state)
 
-    async def idle(self) -> None:
+    async def wait_idle(self) -> None:
         """Returns when no run is in progress."""
         while self._tasks:
             await asyncio.wait(list(self._tasks.values()))
@@ -177,7 +197,7 @@
         )
 
     def _attach(self, number: ids.GrantNumber, subscriber: _Subscriber) -> None:
-        """Sends the answer of the first run to a resend of its request."""
+        """Sends the answer of the first run to a repeat of its request."""
         output = self._outputs[number]
         if output.headers is not None:
             self._send_headers(subscriber, *output.headers)
@@ -251,7 +271,7 @@
             raise errors.CallError(
                 errors.ErrorKind.UPSTREAM_FAILED, str(error), ran=ran
             ) from error
-        self._note_pause(stream)
+        self._record_pause(stream)
         try:
             if run.stream:
                 await self._relay_events(run, version, output, stream)
@@ -264,8 +284,11 @@
         finally:
             await stream.close()
 
-    def _note_pause(self, stream: http.EventStream) -> None:
-        """Keeps the time that a refusal names; no shorter one ends it."""
+    def _record_pause(self, stream: http.EventStream) -> None:
+        """Records the pause that a refusal asks for.
+
+        A later and shorter pause does not end it earlier.
+        """
         asked_ms = stream.retry_after_ms
         if stream.status not in (_TOO_MANY_REQUESTS, _UNAVAILABLE):
             return
@@ -307,23 +330,23 @@
         async for event in stream.events():
             last = event == _DONE_EVENT
             if not last:
-                self._check_stamp(event, version)
+                self._check_version(event, version)
             self._add_part(output, assembly.Part(seq, event, version, last))
             seq += 1
             if last:
                 return
         raise errors.CallError(errors.ErrorKind.ANSWER_INCOMPLETE)
 
-    def _check_stamp(self, event: bytes, version: ids.VersionId) -> None:
+    def _check_version(self, event: bytes, version: ids.VersionId) -> None:
         try:
-            stamp = self._stamp_decoder.decode(event[len(_DATA_PREFIX) :])
+            stamped = self._version_decoder.decode(event[len(_DATA_PREFIX) :])
         except msgspec.DecodeError as error:
             raise errors.CallError(
                 errors.ErrorKind.UPSTREAM_FAILED, f"malformed event: {error}"
             ) from error
-        if stamp.system_fingerprint != version:
-            actual = ids.VersionId(stamp.system_fingerprint)
-            self._admission.version_surprise(actual)
+        if stamped.system_fingerprint != version:
+            actual = ids.VersionId(stamped.system_fingerprint)
+            self._admission.handle_unexpected_version(actual)
             raise errors.CallError(
                 errors.ErrorKind.VERSION_CHANGED,
                 f"expected {version}, the engine answered from {actual}",
@@ -345,7 +368,7 @@
         for subscriber in output.subscribers:
             self._queue_part(subscriber, part)
         if output.first:
-            # The time to the first token counts by itself.
+            # The first part is sent at once, for a short time to first token.
             output.first = False
             self._flush()
 
@@ -397,7 +420,11 @@
         self._trim_kept()
 
     def _trim_kept(self) -> None:
-        """Forgets the oldest ended answers beyond the memory bound."""
+        """Drops ended answers from the oldest on.
+
+        Answers whose run the ledger no longer knows are dropped, and so are
+        answers beyond `KEPT_BYTES_MAX`.
+        """
         for number, output in list(self._outputs.items()):
             state = self._ledger.state(
                 self._ledger.incarnation, number, self._clock.now_ms()
--- a/src/marlramp/agent/swap_permits.py
+++ b/src/marlramp/agent/swap_permits.py
@@ -1,4 +1,9 @@
-"""Collects permits to stop serving from the entries that this agent hears."""
+"""Collects permits to stop serving from the entries that this agent hears.
+
+Requests, answers and withdrawals can be lost. A request without an answer is
+sent again, and a permit of an attempt that is over is returned when its answer
+arrives.
+"""
 
 from __future__ import annotations
 
@@ -11,10 +16,10 @@
 
 
 class Entries(Protocol):
-    """The links to the entries."""
+    """Links from the agent to the entries."""
 
     def heard(self) -> list[ids.VmId]:
-        """Returns the entries heard from lately."""
+        """Returns the entries that have sent a message recently."""
         ...
 
     def send(self, entry_id: ids.VmId, message: messages.FromAgent) -> None:
@@ -23,61 +28,70 @@
 
 
 class SwapPermits:
-    """The questions of one agent, round by round.
+    """Permit requests of one agent, one attempt at a time.
 
-    An entry no longer heard from is not waited for: it gives the agent no
-    work. One that is heard for the first time is asked in the same round.
+    An entry that is no longer heard is not waited for, since it sends the agent
+    no runs. An entry that is first heard during an attempt receives a request
+    in that attempt.
     """
 
     def __init__(self, entries: Entries, time: clock.Clock) -> None:
-        """Sends nothing before `ask`."""
+        """Sends nothing until `request` is called."""
         self._entries = entries
         self._clock = time
-        self._round = swap.PermitCollector()
+        self._attempt = swap.PermitCollector()
         self._version = ids.VersionId("")
 
-    def ask(self, version: ids.VersionId) -> None:
-        """Starts a round and asks every entry heard from."""
+    def request(self, version: ids.VersionId) -> None:
+        """Starts an attempt and requests a permit from every entry heard."""
         self._version = version
-        self._round.begin(self._clock.now_ms())
-        self._ask_all()
+        self._attempt.begin(self._clock.now_ms())
+        self._send_requests()
+
+    def state(self) -> swap.AttemptState:
+        """Returns the state of the attempt.
 
-    def standing(self) -> swap.AttemptState:
-        """Returns how the round stands; asks entries without an answer."""
-        found = self._round.state(self._entries.heard(), self._clock.now_ms())
+        Sends requests that are due, to new entries and to those that have not
+        answered, while the attempt waits for permits.
+        """
+        found = self._attempt.state(self._entries.heard(), self._clock.now_ms())
         if found is swap.AttemptState.WAITING:
-            self._ask_all()
+            self._send_requests()
         return found
 
     def withdraw(self) -> None:
-        """Ends the round and gives back whatever was or will be permitted."""
-        self._round.end()
-        for entry_id in self._round.requested:
-            self._give_back(entry_id, self._round.number)
-
-    def answered(self, entry_id: ids.VmId, answer: messages.SwapAnswer) -> None:
-        """Takes an entry's answer, of this round or an earlier one."""
+        """Ends the attempt and returns its permits, also those yet to come."""
+        self._attempt.end()
+        for entry_id in self._attempt.requested:
+            self._send_withdrawal(entry_id, self._attempt.number)
+
+    def handle_answer(
+        self, entry_id: ids.VmId, answer: messages.SwapAnswer
+    ) -> None:
+        """Handles an answer to a request of this or an earlier attempt."""
         number = answer.round_number
-        if self._round.handle_answer(
+        if self._attempt.handle_answer(
             entry_id,
             number,
             answer.granted,
             answer.ttl_ms,
             self._clock.now_ms(),
         ):
-            # The withdrawal that followed the question may have been lost.
-            self._give_back(entry_id, number)
+            # The withdrawal sent when that attempt ended may have been lost.
+            self._send_withdrawal(entry_id, number)
 
-    def _ask_all(self) -> None:
+    def _send_requests(self) -> None:
         request = messages.SwapRequest(
             version=self._version,
-            round_number=self._round.number,
-            hold_ms=self._round.hold_ms,
+            round_number=self._attempt.number,
+            hold_ms=self._attempt.hold_ms,
         )
         heard = self._entries.heard()
-        for entry_id in self._round.next_requests(heard, self._clock.now_ms()):
+        for entry_id in self._attempt.next_requests(
+            heard, self._clock.now_ms()
+        ):
             self._entries.send(entry_id, request)
 
-    def _give_back(self, entry_id: ids.VmId, number: int) -> None:
+    def _send_withdrawal(self, entry_id: ids.VmId, number: int) -> None:
         message = messages.SwapWithdrawal(round_number=number)
         self._entries.send(entry_id, message)
--- a/tests/agent/replicas.py
+++ b/tests/agent/replicas.py
@@ -24,7 +24,7 @@
 SERVICE = ids.ServiceId("pool")
 
 
-def whole_of(version: str) -> manifest.ChunkSet:
+def chunk_set_of(version: str) -> manifest.ChunkSet:
     """Returns complete weights of one chunk."""
     data = version.encode()
     found = manifest.ChunkSet(
@@ -47,7 +47,7 @@
 
 
 def rollout_of(version: str, previous: str) -> schema.Rollout:
-    """Returns the settings that ask for a version."""
+    """Returns the rollout settings of a version."""
     return schema.Rollout(
         model="stand",
         version=version,
@@ -57,20 +57,20 @@
 
 
 class Node:
-    """A swarm that holds all weights at once."""
+    """A swarm node that holds all weights from the start."""
 
     def __init__(self, versions: list[str]) -> None:
-        self._wholes = {digest_of(v): whole_of(v) for v in versions}
+        self._chunk_sets = {digest_of(v): chunk_set_of(v) for v in versions}
 
     async def fetch_manifest(self, digest: ids.Digest) -> manifest.Manifest:
-        return self._wholes[digest].manifest
+        return self._chunk_sets[digest].manifest
 
     async def fetch(self, digest: ids.Digest) -> manifest.ChunkSet:
-        return self._wholes[digest]
+        return self._chunk_sets[digest]
 
 
 class Engine:
-    """An engine that holds one version; loads wait for `may_load`."""
+    """An engine that holds one version; a load waits for `may_load`."""
 
     def __init__(self, version: str) -> None:
         self.version = ids.VersionId(version)
@@ -79,14 +79,14 @@
         self.may_load.set()
 
     async def state(self) -> guard.EngineState:
-        whole = ids.Digest(whole_of(self.version).manifest.whole)
-        return guard.EngineState(self.version, {self.version: whole})
+        digest = ids.Digest(chunk_set_of(self.version).manifest.whole)
+        return guard.EngineState(self.version, {self.version: digest})
 
     async def load_report(self) -> engine_client.LoadReport:
         return engine_client.LoadReport(0, 0)
 
     async def stage(
-        self, version: ids.VersionId, whole: manifest.ChunkSet
+        self, version: ids.VersionId, chunk_set: manifest.ChunkSet
     ) -> None:
         pass
 
@@ -102,42 +102,44 @@
 
 
 class Entry:
-    """An entry's permits, and the time that messages need on their ways.
+    """Permits of an entry, with delays and losses of messages.
 
     Attributes:
-      ask_ms: way of a message from each replica, 0 unless named.
-      answer_ms: way of each answer.
-      lost: questions that are still to be lost.
-      questions: questions that have come.
+      request_delay_ms: delay of messages by replica, 0 for replicas not listed.
+      answer_delay_ms: delay of each answer.
+      lost: number of further requests that are lost.
+      requests: number of requests received, lost ones included.
     """
 
     def __init__(self, name: str, fleet: Fleet) -> None:
         self.name = ids.VmId(name)
-        self.desk = swap.PermitIssuer(clock.Millis(float("-inf")))
-        self.ask_ms: dict[ids.VmId, float] = {}
-        self.answer_ms = 0.0
+        self.issuer = swap.PermitIssuer(clock.Millis(float("-inf")))
+        self.request_delay_ms: dict[ids.VmId, float] = {}
+        self.answer_delay_ms = 0.0
         self.lost = 0
-        self.questions = 0
+        self.requests = 0
         self._fleet = fleet
 
-    def take(self, replica: Replica, message: messages.FromAgent) -> None:
-        """Takes a replica's message once it has come."""
-        delay_ms = self.ask_ms.get(replica.vm_id, 0.0)
+    def handle(self, replica: Replica, message: messages.FromAgent) -> None:
+        """Handles a message from a replica after its delay."""
+        delay_ms = self.request_delay_ms.get(replica.vm_id, 0.0)
         if isinstance(message, messages.SwapRequest):
-            _later(delay_ms, lambda: self._asked(replica, message))
+            _later(delay_ms, lambda: self._handle_request(replica, message))
         elif isinstance(message, messages.SwapWithdrawal):
             number = message.round_number
             _later(
                 delay_ms,
-                lambda: self.desk.release(replica.vm_id, INCARNATION, number),
+                lambda: self.issuer.release(replica.vm_id, INCARNATION, number),
             )
 
-    def _asked(self, replica: Replica, message: messages.SwapRequest) -> None:
-        self.questions += 1
+    def _handle_request(
+        self, replica: Replica, message: messages.SwapRequest
+    ) -> None:
+        self.requests += 1
         if self.lost:
             self.lost -= 1
             return
-        granted = self.desk.try_issue(
+        granted = self.issuer.try_issue(
             swap.PermitRequest(
                 replica.vm_id,
                 SERVICE,
@@ -157,7 +159,8 @@
             ttl_ms=message.hold_ms,
         )
         _later(
-            self.answer_ms, lambda: replica.permits.answered(self.name, answer)
+            self.answer_delay_ms,
+            lambda: replica.permits.handle_answer(self.name, answer),
         )
 
 
@@ -167,7 +170,7 @@
 
 
 class Links:
-    """A replica's links to all entries, all of which it hears."""
+    """Links of a replica to all entries; it hears every one of them."""
 
     def __init__(self, replica: Replica, fleet: Fleet) -> None:
         self._replica = replica
@@ -179,11 +182,17 @@
     def send(self, entry_id: ids.VmId, message: messages.FromAgent) -> None:
         for entry in self._fleet.entries:
             if entry.name == entry_id:
-                entry.take(self._replica, message)
+                entry.handle(self._replica, message)
 
 
 class Replica:
-    """One replica: its controller, engine and whether it serves."""
+    """A replica with its controller and engine.
+
+    Attributes:
+      is_open: whether the replica accepts runs.
+      suspended: how often the replica stopped serving.
+      pauses_ms: pause of the process when it next suspends serving.
+    """
 
     def __init__(self, name: str, fleet: Fleet) -> None:
         self.vm_id = ids.VmId(name)
@@ -205,12 +214,15 @@
         )
 
     def changed(self) -> None:
-        """Tells the entries, as a report does."""
+        """Revokes the permits of this replica once it serves its target.
+
+        In the product, entries do so on a report from the agent.
+        """
         version = self.controller.serving_version()
         wanted = self.controller.rollout
         if wanted is not None and version == schema.version_id(wanted):
             for entry in self._fleet.entries:
-                entry.desk.drop(self.vm_id)
+                entry.issuer.drop(self.vm_id)
 
     def suspend(self) -> None:
         if self.is_open:
@@ -222,12 +234,12 @@
     def resume(self) -> None:
         self.is_open = True
 
-    async def idle(self) -> None:
+    async def wait_idle(self) -> None:
         pass
 
 
 class _Clock(clock.SystemClock):
-    """The system's clock, which a test may move forward."""
+    """The system clock, which a test can move forward."""
 
     def __init__(self) -> None:
         self._added_ms = 0.0
@@ -240,7 +252,7 @@
 
 
 class Fleet:
-    """Replicas and entries."""
+    """Replicas and entries of one service."""
 
     def __init__(self, replicas: int, entries: int) -> None:
         self.time = _Clock()
@@ -273,7 +285,7 @@
         )
 
     async def until_served(self, version: str, within_s: float) -> bool:
-        """Waits until all serve a version; False if they don't in time."""
+        """Waits until all replicas serve a version; False on timeout."""
         end_ms = self.time.now_ms() + within_s * clock.MILLIS_PER_SECOND
         while self.served(version) < len(self.members):
             if self.time.now_ms() >= end_ms:
--- a/tests/agent/test_rollout.py
+++ b/tests/agent/test_rollout.py
@@ -1,4 +1,4 @@
-"""Rollouts that stood still though all weights were there."""
+"""Rollouts that stalled although all weights were available."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 ) -> None:
     """Runs a scenario on a fleet that serves the first version."""
 
-    async def whole() -> None:
+    async def scenario_with_fleet() -> None:
         fleet = replicas.Fleet(members, entries)
         fleet.roll_out("v1", "v1")
         assert await fleet.until_served("v1", 5.0)
@@ -27,11 +27,12 @@
         await scenario(fleet)
         await fleet.close()
 
-    asyncio.run(whole())
+    asyncio.run(scenario_with_fleet())
 
 
-def test_rollout_that_comes_back_while_its_weights_are_loaded_ends() -> None:
-    # The target was dropped and never set again: "fetching weights" for good.
+def test_rollout_restored_while_its_weights_load_completes() -> None:
+    # The target was cleared and never set again, and the agent reported
+    # "fetching weights" for ever.
     async def scenario(fleet: replicas.Fleet) -> None:
         engine = fleet.members[0].engine
         engine.may_load.clear()
@@ -52,11 +53,12 @@
 
 
 @pytest.mark.parametrize("late_entries", [1, 2])
-def test_permits_that_come_late_each_time_count(late_entries: int) -> None:
-    # Answers after 150 ms never counted: "waiting for permits" for good.
+def test_late_permits_count(late_entries: int) -> None:
+    # Answers that took longer than 150 ms never counted, and the agent reported
+    # "waiting for permits" for ever.
     async def scenario(fleet: replicas.Fleet) -> None:
         for entry in fleet.entries[:late_entries]:
-            entry.answer_ms = 300.0
+            entry.answer_delay_ms = 300.0
         fleet.roll_out("v2", "v1")
         assert await fleet.until_served("v2", 15.0)
         assert fleet.out_most == 1
@@ -64,11 +66,12 @@
     run(scenario)
 
 
-def test_replicas_that_are_first_at_different_entries_all_swap() -> None:
-    # Each kept the permit of another entry, and renewed it, for good.
+def test_replicas_first_at_different_entries_all_swap() -> None:
+    # Each replica kept and renewed the permit of a different entry, so none had
+    # the permits of all entries.
     async def scenario(fleet: replicas.Fleet) -> None:
         for number, member in enumerate(fleet.members):
-            fleet.entries[number % 2].ask_ms[member.vm_id] = 100.0
+            fleet.entries[number % 2].request_delay_ms[member.vm_id] = 100.0
         fleet.roll_out("v2", "v1")
         assert await fleet.until_served("v2", 20.0)
         assert fleet.out_most == 1
@@ -76,8 +79,8 @@
     run(scenario)
 
 
-def test_lost_question_holds_no_rollout_up() -> None:
-    # An entry that never heard the question was never asked in that round.
+def test_lost_permit_request_does_not_stall_rollout() -> None:
+    # An entry whose request was lost received no other in that attempt.
     async def scenario(fleet: replicas.Fleet) -> None:
         fleet.entries[0].lost = 3
         fleet.roll_out("v2", "v1")
@@ -87,8 +90,8 @@
     run(scenario)
 
 
-def test_entry_that_never_answers_and_leaves_holds_no_rollout_up() -> None:
-    # Its place in the round ends when it is no longer heard.
+def test_silent_entry_that_leaves_does_not_stall_rollout() -> None:
+    # An entry that is no longer heard is not waited for.
     async def scenario(fleet: replicas.Fleet) -> None:
         fleet.entries[1].lost = 1_000
         fleet.roll_out("v2", "v1")
@@ -101,8 +104,9 @@
     run(scenario)
 
 
-def test_agent_paused_after_its_permits_came_asks_anew() -> None:
-    # It stopped serving on permits that its entries had ended meanwhile.
+def test_agent_paused_after_permits_requests_new_ones() -> None:
+    # The agent stopped serving on permits that expired at the entries during
+    # its pause.
     async def scenario(fleet: replicas.Fleet) -> None:
         member = fleet.members[0]
         member.pauses_ms = 5_000.0
