--- a/src/marlramp/agent/__init__.py
+++ b/src/marlramp/agent/__init__.py
@@ -1,1 +1,1 @@
-"""The process beside each upstream."""
+"""The agent: the process that runs beside each upstream."""
--- a/src/marlramp/agent/daemon.py
+++ b/src/marlramp/agent/daemon.py
@@ -1,4 +1,8 @@
-"""The agent: one process beside each upstream."""
+"""The agent on the grants path: one process beside each upstream.
+
+It issues grants to entries, runs their requests at the upstream, reports load
+and state to them, and brings the engine to the version in the rollout settings.
+"""
 
 from __future__ import annotations
 
@@ -34,8 +38,10 @@
 from marlramp.shell import settings_sync
 
 HEARTBEAT_MS = 2_000.0
+"""Interval of heartbeats while nothing but their age changes."""
+
 HEARTBEAT_CHANGE_MS = 1_000.0
-"""A changed load is told this soon."""
+"""Interval at which a changed heartbeat is sent."""
 
 GRANT_TTL_MS = 5_000.0
 GRANT_TICK_MS = 500.0
@@ -44,18 +50,25 @@
 PACE_INTERVAL_MS = 1_000.0
 PROGRESS_INTERVAL_MS = 500.0
 DRAIN_LINGER_MS = 300.0
-"""Wait for the last messages to leave before the process exits."""
+"""Wait after the last run, so that the last messages are sent before the
+process exits."""
 
 INCARNATION_BITS = 53
 
 
 class AgentDaemon:
-    """Wires the agent's parts together."""
+    """Creates the parts of the agent and connects them."""
 
     def __init__(self, settings: process.ProcessSettings) -> None:
-        """Creates all parts; nothing is sent before `run`."""
+        """Creates all parts; they send nothing until `run` is called.
+
+        Raises:
+          ValueError: if the settings have no [upstream] section.
+        """
         if settings.upstream is None:
-            raise ValueError("an agent needs [upstream] settings")
+            raise ValueError(
+                "the settings of an agent need an [upstream] section"
+            )
         self._settings = settings
         self._upstream = settings.upstream
         self._vm_id = ids.VmId(settings.identity.vm_id)
@@ -159,11 +172,14 @@
         )
 
     def reload(self, reason: str) -> None:
-        """Logs that process settings take effect at the next start."""
+        """Logs that a reload is ignored.
+
+        Changed process settings take effect when the agent starts again.
+        """
         logs.log("reload_ignored", reason=reason)
 
     def drain(self, reason: str) -> None:
-        """Takes no new work, finishes what runs, then stops."""
+        """Accepts no new runs, finishes those in progress, then stops."""
         if self._lifecycle.phase is lifecycle.Phase.DRAINING:
             return
         logs.log("draining", reason=reason)
@@ -173,25 +189,25 @@
         self._stopping.set()
 
     async def run(self) -> None:
-        """Runs until drained."""
+        """Runs the agent until it has been drained."""
         logs.log("agent_started", incarnation=self._incarnation)
-        works: dict[str, Callable[[], Awaitable[None]]] = {
+        jobs: dict[str, Callable[[], Awaitable[None]]] = {
             "members": self._members.run,
             "settings_sync": functools.partial(
                 self._sync.run, reads_without_need=False
             ),
             "swarm": self._node.run,
-            "heartbeats": self._heartbeat_all,
-            "grants": self._grant_all,
-            "reports": self._report_all,
-            "counters": self._counters_all,
-            "pace": self._pace_all,
+            "heartbeats": self._send_heartbeats,
+            "grants": self._renew_grants,
+            "reports": self._send_changed_reports,
+            "counters": self._send_counters,
+            "pace": self._update_pace,
             "rollout": self._run_rollout,
         }
         if self._upstream.reports_load:
-            works["load"] = self._load_all
+            jobs["load"] = self._poll_load
         async with asyncio.TaskGroup() as group:
-            tasks = safely.start_all(group, works, self._totals, self._clock)
+            tasks = safely.start_all(group, jobs, self._totals, self._clock)
             await self._stopping.wait()
             await self._runs.wait_idle()
             await asyncio.sleep(DRAIN_LINGER_MS / 1000)
@@ -201,28 +217,31 @@
         self._context.close()
         logs.log("agent_stopped")
 
-    # What the rollout controller and the runs ask for.
+    # Called by the rollout controller and the run service.
 
     def serving_version(self) -> ids.VersionId | None:
-        """Returns the verified version, None when nothing may be served."""
+        """Returns the verified version, None if none may be served.
+
+        A plain service has no versions; its version is an empty text.
+        """
         kind = self._store.tree.service_kind(self._service_id)
         if kind is schema.ServiceKind.PLAIN:
             return ids.VersionId("")
         return self._rollout.serving_version()
 
     def handle_unexpected_version(self, version: ids.VersionId) -> None:
-        """Reports an answer stamped with a version that was not expected."""
+        """Closes admission after an answer from an unexpected version."""
         self._rollout.handle_unexpected_version(version)
 
     def suspend(self) -> None:
-        """Voids grants and takes no new work."""
+        """Voids all grants and accepts no new runs."""
         self._lifecycle.suspend()
         if self._ledger.is_open:
             self._ledger.close(self._clock.now_ms())
             self._send_report()
 
     def resume(self) -> None:
-        """Takes work again unless the agent is leaving."""
+        """Accepts runs again unless the agent is leaving."""
         if self._lifecycle.serve() and not self._ledger.is_open:
             self._ledger.open()
             self._send_report()
@@ -293,7 +312,7 @@
         self._entries.send(entry_id, self._report())
         self._entries.send(entry_id, self._heartbeat())
 
-    # Changes from outside.
+    # Changes of the VM list and the settings.
 
     def _members_changed(self) -> None:
         vms = self._members.vms
@@ -343,7 +362,7 @@
     def _values(self) -> schema.Settings:
         return self._store.tree.effective(self._service_id)
 
-    # Regular work.
+    # Periodic jobs.
 
     async def _run_rollout(self) -> None:
         while self._store.tree.service_kind(self._service_id) is None:
@@ -352,29 +371,32 @@
         if kind is schema.ServiceKind.MODEL:
             await self._rollout.run()
 
-    async def _heartbeat_all(self) -> None:
+    async def _send_heartbeats(self) -> None:
         sent: messages.AgentHeartbeat | None = None
         sent_ms = float("-inf")
         while True:
             heartbeat = self._heartbeat()
             now_ms = self._clock.now_ms()
-            if not _alike(heartbeat, sent) or now_ms - sent_ms >= HEARTBEAT_MS:
+            if (
+                not _same_but_for_age(heartbeat, sent)
+                or now_ms - sent_ms >= HEARTBEAT_MS
+            ):
                 self._entries.send_all(heartbeat)
                 sent, sent_ms = heartbeat, now_ms
             await asyncio.sleep(HEARTBEAT_CHANGE_MS / 1000)
 
-    async def _grant_all(self) -> None:
+    async def _renew_grants(self) -> None:
         while True:
             safely.run_safely(self._issue_grants, "grants", self._totals)
             await asyncio.sleep(GRANT_TICK_MS / 1000)
 
-    async def _report_all(self) -> None:
+    async def _send_changed_reports(self) -> None:
         while True:
             await asyncio.sleep(PROGRESS_INTERVAL_MS / 1000)
             if self._report() != self._sent_report:
                 self._send_report()
 
-    async def _counters_all(self) -> None:
+    async def _send_counters(self) -> None:
         while True:
             await asyncio.sleep(COUNTERS_INTERVAL_MS / 1000)
             changed = [
@@ -389,8 +411,8 @@
             if changed:
                 self._entries.send_all(messages.AgentCounters(values=changed))
 
-    async def _pace_all(self) -> None:
-        """Leaves room on the link for the live requests seen lately."""
+    async def _update_pace(self) -> None:
+        """Reserves link capacity for live requests by their recent rate."""
         before = self._runs.relayed_bytes
         while True:
             await asyncio.sleep(PACE_INTERVAL_MS / 1000)
@@ -399,7 +421,7 @@
             self._node.set_live_rate(live_bytes_per_s)
             before = now
 
-    async def _load_all(self) -> None:
+    async def _poll_load(self) -> None:
         while True:
             try:
                 self._load = await self._engine.load_report()
@@ -413,20 +435,20 @@
                 )
             await asyncio.sleep(LOAD_INTERVAL_MS / 1000)
 
-    def _behind(self) -> bool:
-        """Returns whether an entry heard from has newer settings."""
+    def _has_outdated_settings(self) -> bool:
+        """Returns whether an entry that the agent hears has newer settings."""
         return any(
             self._store.behind(self._entries.links[entry_id].revisions)
             for entry_id in self._entries.heard()
         )
 
     def _issue_grants(self) -> None:
-        if self._behind() or self._runs.paused:
+        if self._has_outdated_settings() or self._runs.paused:
             return
         demand = {
             entry_id: self._entries.links[entry_id].demand
             for entry_id in self._entries.heard()
-            if self._entries.links[entry_id].has_use_for_grants
+            if self._entries.links[entry_id].can_use_grants
         }
         shares = grants.divide_capacity(self._ledger.capacity, demand)
         now_ms = self._clock.now_ms()
@@ -488,10 +510,10 @@
         return messages.AgentState.STARTING
 
 
-def _alike(
+def _same_but_for_age(
     heartbeat: messages.AgentHeartbeat, sent: messages.AgentHeartbeat | None
 ) -> bool:
-    """Returns whether a heartbeat says nothing new, but for its age."""
+    """Returns whether two heartbeats are equal but for the age of the load."""
     return sent is not None and (
         heartbeat.running,
         heartbeat.reported_load,
--- a/src/marlramp/agent/engine_client.py
+++ b/src/marlramp/agent/engine_client.py
@@ -1,4 +1,4 @@
-"""Talks to the model engine or plain service on this VM."""
+"""Client of the model engine or plain service on this VM."""
 
 from __future__ import annotations
 
@@ -15,21 +15,23 @@
 READ_TIMEOUT_MS = 1_000.0
 STAGE_TIMEOUT_MS = 30_000.0
 STAGE_PIECE_BYTES = 16 * 1024 * 1024
+"""Least size of a staged piece, except for the last one."""
+
 ORDER_TIMEOUT_MS = 120_000.0
 _OK = 200
 _CONFLICT = 409
 
 
 class EngineError(Exception):
-    """The engine did not do what it was asked."""
+    """A call to the engine failed."""
 
 
 class FencingRefusedError(EngineError):
-    """The engine has taken an order with a higher fencing number."""
+    """The engine has accepted an order with a higher fencing number."""
 
 
 class LoadReport(msgspec.Struct, frozen=True):
-    """Load as the engine reports it, with a lag.
+    """Load of an engine as it reported it; the figures lag behind.
 
     Attributes:
       running: requests in the batch.
@@ -43,36 +45,48 @@
 
 
 class Engine(Protocol):
-    """Orders and reports of one engine; other kinds are other modules."""
+    """Orders to one engine and reports from it."""
 
     async def state(self) -> guard.EngineState:
-        """Returns what the engine holds and serves."""
+        """Returns the versions that the engine holds and the one it serves."""
         ...
 
     async def load_report(self) -> LoadReport:
-        """Returns the engine's load."""
+        """Returns the load that the engine reports."""
         ...
 
     async def stage(
-        self, version: ids.VersionId, whole: manifest.ChunkSet
+        self, version: ids.VersionId, chunk_set: manifest.ChunkSet
     ) -> None:
-        """Hands verified weights to the engine without loading them."""
+        """Uploads verified weights to the engine, which does not load them."""
         ...
 
     async def load(self, version: ids.VersionId, fencing: int) -> None:
-        """Orders the engine to load staged weights."""
+        """Orders the engine to load staged weights.
+
+        Raises:
+          FencingRefusedError: if the engine has accepted an order with a higher
+            fencing number.
+          EngineError: if the call fails otherwise.
+        """
         ...
 
     async def serve(self, version: ids.VersionId, fencing: int) -> None:
-        """Orders the engine to serve a loaded version."""
+        """Orders the engine to serve a loaded version.
+
+        Raises:
+          FencingRefusedError: if the engine has accepted an order with a higher
+            fencing number.
+          EngineError: if the call fails otherwise.
+        """
         ...
 
 
-def _pieces(whole: manifest.ChunkSet) -> Iterator[bytes]:
-    """Yields the weights in pieces of several chunks, to save calls."""
+def _pieces(chunk_set: manifest.ChunkSet) -> Iterator[bytes]:
+    """Yields the weights in pieces of several chunks, for fewer calls."""
     piece = bytearray()
-    for index in range(len(whole.manifest.chunks)):
-        data = whole.get(index)
+    for index in range(len(chunk_set.manifest.chunks)):
+        data = chunk_set.get(index)
         if data is None:
             raise EngineError(f"chunk {index} is missing")
         piece += data
@@ -84,15 +98,15 @@
 
 
 class HttpEngine:
-    """Engine over HTTP; every call raises `EngineError` when it fails."""
+    """Engine with an HTTP interface; a failed call raises `EngineError`."""
 
     def __init__(self, client: http.HttpClient, url: str) -> None:
-        """Uses the engine at `url`."""
+        """Creates a client of the engine at `url`."""
         self._client = client
         self._url = url.rstrip("/")
 
     async def state(self) -> guard.EngineState:
-        """Returns what the engine holds and serves."""
+        """Returns the versions that the engine holds and the one it serves."""
         reply = await self._call("GET", "/admin/state", b"", READ_TIMEOUT_MS)
         try:
             return msgspec.json.decode(reply.body, type=guard.EngineState)
@@ -100,7 +114,7 @@
             raise EngineError(f"malformed state: {error}") from error
 
     async def load_report(self) -> LoadReport:
-        """Returns the engine's load."""
+        """Returns the load that the engine reports."""
         reply = await self._call(
             "GET", "/admin/load-report", b"", READ_TIMEOUT_MS
         )
@@ -110,19 +124,31 @@
             raise EngineError(f"malformed load report: {error}") from error
 
     async def stage(
-        self, version: ids.VersionId, whole: manifest.ChunkSet
+        self, version: ids.VersionId, chunk_set: manifest.ChunkSet
     ) -> None:
-        """Hands verified weights to the engine without loading them."""
-        for number, piece in enumerate(_pieces(whole)):
+        """Uploads verified weights to the engine, which does not load them."""
+        for number, piece in enumerate(_pieces(chunk_set)):
             path = f"/admin/weights/{version}/{number}"
             await self._call("PUT", path, piece, STAGE_TIMEOUT_MS)
 
     async def load(self, version: ids.VersionId, fencing: int) -> None:
-        """Orders the engine to load staged weights."""
+        """Orders the engine to load staged weights.
+
+        Raises:
+          FencingRefusedError: if the engine has accepted an order with a higher
+            fencing number.
+          EngineError: if the call fails otherwise.
+        """
         await self._order("/admin/load", version, fencing)
 
     async def serve(self, version: ids.VersionId, fencing: int) -> None:
-        """Orders the engine to serve a loaded version."""
+        """Orders the engine to serve a loaded version.
+
+        Raises:
+          FencingRefusedError: if the engine has accepted an order with a higher
+            fencing number.
+          EngineError: if the call fails otherwise.
+        """
         await self._order("/admin/serve", version, fencing)
 
     async def _order(
--- a/src/marlramp/agent/entry_links.py
+++ b/src/marlramp/agent/entry_links.py
@@ -1,4 +1,4 @@
-"""Links from one agent to the entries it works for."""
+"""Links from one agent to the entries whose requests it runs."""
 
 from __future__ import annotations
 
@@ -16,16 +16,26 @@
 from marlramp.shell import links
 
 HEARD_TIMEOUT_MS = 5_000.0
-"""An entry silent for longer is treated as gone."""
+"""An entry from which nothing arrives for longer is treated as gone."""
 
 
 class EntryLink:
-    """The link to one entry and what was last heard on it."""
+    """The link to one entry and the state that the entry last reported.
+
+    Attributes:
+      vm: record of the entry in the platform's list.
+      connector: connection to the entry.
+      heard_ms: when a message last arrived.
+      demand: requests that the entry runs at this agent or would send to it.
+      leaving: whether the entry is leaving.
+      revisions: revisions of the settings that the entry holds.
+      task: receives the messages of the link.
+    """
 
     def __init__(
         self, vm: clients.ListedVm, connector: links.Connector
     ) -> None:
-        """Wraps a connector to the entry `vm`."""
+        """Wraps a connector to the entry `vm`, which has reported nothing."""
         self.vm = vm
         self.connector = connector
         self.heard_ms = float("-inf")
@@ -35,17 +45,17 @@
         self.task: asyncio.Task[None] | None = None
 
     @property
-    def has_use_for_grants(self) -> bool:
-        """Whether the entry has, or may get, calls to start.
+    def can_use_grants(self) -> bool:
+        """Whether the entry has, or may receive, calls to start.
 
-        A leaving entry gets no new calls, but those that wait there can start
-        nowhere else and would end at their deadline.
+        A leaving entry receives no new calls, but the calls that wait there can
+        start nowhere else and without grants would end at their deadline.
         """
         return self.demand > 0 or not self.leaving
 
 
 class EntryLinks:
-    """Opens links to the chosen entries and passes on what they say."""
+    """Opens links to the chosen entries and passes on their messages."""
 
     def __init__(
         self,
@@ -74,7 +84,7 @@
         return self._links
 
     def heard(self) -> list[ids.VmId]:
-        """Returns the entries heard from lately."""
+        """Returns the entries heard from within `HEARD_TIMEOUT_MS`."""
         horizon_ms = self._clock.now_ms() - HEARD_TIMEOUT_MS
         return [
             entry_id
@@ -85,9 +95,9 @@
     def choose(
         self, entries: list[clients.ListedVm], data_centre: str, count: int
     ) -> None:
-        """Links to `count` of the listed entries, the own data centre first.
+        """Links to `count` of the listed entries, this data centre's first.
 
-        A listed entry that leaves keeps its link until it leaves the list.
+        A leaving entry keeps its link until the list no longer holds it.
         """
         by_id = {ids.VmId(vm.vm_id): vm for vm in entries}
         chosen = entry_choice.choose_entries(
@@ -115,7 +125,7 @@
             )
 
     def send_all(self, message: messages.FromAgent) -> None:
-        """Sends a message to every linked entry."""
+        """Sends a message to every entry that has a link."""
         data = codec.encode(message)
         for link in self._links.values():
             link.connector.send(data)
@@ -140,9 +150,9 @@
     async def _receive(self, entry_id: ids.VmId, link: EntryLink) -> None:
         while True:
             for data in await link.connector.receive():
-                self._on_data(entry_id, link, data)
+                self._handle_data(entry_id, link, data)
 
-    def _on_data(
+    def _handle_data(
         self, entry_id: ids.VmId, link: EntryLink, data: bytes
     ) -> None:
         try:
--- a/src/marlramp/agent/swarm_node.py
+++ b/src/marlramp/agent/swarm_node.py
@@ -1,8 +1,8 @@
 """Fetches, verifies and shares weights with neighbouring agents.
 
-One task owns all swarm state; sockets and timers only put messages into its
-inbox. Uploads and downloads are paced to the part of the link that live
-requests leave over.
+All tasks and timers of a node share one event loop and change the state of the
+swarm without awaiting in between, so the state needs no lock. Uploads and
+downloads are paced to the part of the link that live requests leave over.
 """
 
 from __future__ import annotations
@@ -33,19 +33,27 @@
 
 TICK_MS = 40.0
 ANNOUNCE_MS = 100.0
-"""Chunks newly held are announced together at most this often."""
+"""Shortest interval between announcements of newly held chunks."""
 
 KEEPALIVE_MS = 500.0
+"""Interval of announcements without new chunks, until the swarm is settled."""
+
 PEER_TIMEOUT_MS = 2_000.0
+"""A neighbour from which nothing arrives for longer is dropped, unless the swarm
+is settled."""
+
 MANIFEST_RETRY_MS = 400.0
 MANIFEST_READERS = 2
-"""Agents that read a manifest from the weight store without waiting."""
+"""Number of agents that read a manifest from the weight store at once; the
+others request it from neighbours first."""
 
 MANIFESTS_KEPT = 2
 LIVE_MARGIN = 1.25
 """Live traffic reserves this multiple of its recent rate on the link."""
 
 LINK_SHARE_MIN = 0.05
+"""Least part of the link that weights may use, however high the live rate is."""
+
 BYTES_MAX = messages.MESSAGE_BYTES_MAX
 
 
@@ -72,7 +80,11 @@
 
 
 class _Channel:
-    """A way to send to one neighbour."""
+    """Connection to one neighbour.
+
+    Messages go through the connector if this agent connected to the neighbour,
+    else through the listener to the routing id.
+    """
 
     def __init__(
         self,
@@ -87,7 +99,11 @@
 
 
 class SwarmNode:
-    """This VM's part in distributing weights."""
+    """This agent's part in the swarm that distributes weights.
+
+    Attributes:
+      origin_bytes: bytes of chunks fetched from the origin or the store.
+    """
 
     def __init__(
         self,
@@ -100,17 +116,17 @@
         time: clock.Clock,
         link_bytes_per_s: float | None,
     ) -> None:
-        """Serves neighbours on `listener`; fetches once given a manifest.
+        """Creates a node without a target.
 
         Args:
           vm_id: this VM.
           link_id: identity towards neighbours.
           context: creates links.
-          listener: where neighbours connect.
+          listener: accepts connections of neighbours.
           sources: origin and weight store.
           totals: counters.
           time: the clock.
-          link_bytes_per_s: rate of this VM's link, None for the settings'.
+          link_bytes_per_s: rate of this VM's link, None to use the settings.
         """
         self._vm_id = vm_id
         self._link_id = link_id
@@ -120,7 +136,7 @@
         self._totals = totals
         self._clock = time
         defaults = schema.Settings()
-        self._own_link_bytes_per_s = link_bytes_per_s
+        self._link_override_bytes_per_s = link_bytes_per_s
         self._link_bytes_per_s = float(
             link_bytes_per_s or defaults.link_bytes_per_s
         )
@@ -128,18 +144,18 @@
         self._down = pacing.Pacer(self._link_bytes_per_s)
         self._decoder = codec.peer_decoder()
         self._channels: dict[ids.VmId, _Channel] = {}
-        self._wholes: collections.OrderedDict[ids.Digest, manifest.ChunkSet] = (
-            collections.OrderedDict()
-        )
+        self._chunk_sets: collections.OrderedDict[
+            ids.Digest, manifest.ChunkSet
+        ] = collections.OrderedDict()
         self._manifest_bytes: dict[ids.Digest, bytes] = {}
         self._target: ids.Digest | None = None
         self._members: dict[ids.VmId, clients.ListedVm] = {}
-        self._neighbours_wanted = 8
+        self._neighbour_count = 8
         self._swarm: swarm.Swarm | None = None
         self._policy = swarm.SwarmPolicy(1.0, 2_000.0)
         self._distribution = schema.Distribution.SWARM
         self._uploads = uploads.Uploads(
-            self.whole, self._send, time, self._link_bytes_per_s
+            self.chunk_set, self._send, time, self._link_bytes_per_s
         )
         self._wake = asyncio.Event()
         self._background: set[asyncio.Task[None]] = set()
@@ -158,35 +174,39 @@
         return self._uploads.sent_bytes
 
     def progress(self) -> tuple[int, int]:
-        """Returns chunks held and chunks in all of the target."""
-        whole = self._wholes.get(self._target or ids.Digest(""))
-        if whole is None:
+        """Returns how many chunks of the target are held and exist."""
+        chunk_set = self._chunk_sets.get(self._target or ids.Digest(""))
+        if chunk_set is None:
             return 0, 0
-        return len(whole.held), len(whole.manifest.chunks)
+        return len(chunk_set.held), len(chunk_set.manifest.chunks)
 
-    def whole(self, digest: ids.Digest) -> manifest.ChunkSet | None:
-        """Returns the chunks held of a manifest, None if it is unknown."""
-        return self._wholes.get(digest)
+    def chunk_set(self, digest: ids.Digest) -> manifest.ChunkSet | None:
+        """Returns the held chunks of a manifest, None if it is unknown."""
+        return self._chunk_sets.get(digest)
 
     def set_policy(self, values: schema.Settings) -> None:
-        """Applies settings in force; a fetch under way keeps its policy."""
+        """Applies the settings in force; a current fetch keeps its policy."""
         self._distribution = values.distribution
         self._policy = _POLICIES[values.distribution](values)
-        self._neighbours_wanted = values.neighbours
+        self._neighbour_count = values.neighbours
         self._share = values.weights_link_share
-        if self._own_link_bytes_per_s is None:
+        if self._link_override_bytes_per_s is None:
             self._link_bytes_per_s = values.link_bytes_per_s
         self.set_live_rate(0.0)
 
     def set_live_rate(self, live_bytes_per_s: float) -> None:
-        """Leaves room on the link for the live traffic seen lately."""
+        """Paces chunks to the link rate that live traffic leaves over.
+
+        The rate stays within the share of the settings and does not fall below
+        `LINK_SHARE_MIN`.
+        """
         left = self._link_bytes_per_s - LIVE_MARGIN * live_bytes_per_s
         floor = self._link_bytes_per_s * LINK_SHARE_MIN
         share = self._link_bytes_per_s * self._share
         self._set_rates(max(floor, min(share, left)))
 
     def set_members(self, members: dict[ids.VmId, clients.ListedVm]) -> None:
-        """Takes the agents that fetch the same target."""
+        """Sets the agents that fetch the same target as this one."""
         self._members = members
         if self._swarm is not None:
             self._swarm.set_members(list(members))
@@ -194,44 +214,47 @@
             self._connect_neighbours(self._target)
 
     async def fetch_manifest(self, digest: ids.Digest) -> manifest.Manifest:
-        """Returns a verified manifest from a neighbour or the weight store."""
+        """Returns a verified manifest from a neighbour or the weight store.
+
+        Retries until one of them provides it.
+        """
         self._connect_neighbours(digest)
         attempt = 0
-        while digest not in self._wholes:
-            if self._reads_manifest(digest, attempt):
+        while digest not in self._chunk_sets:
+            if self._should_read_manifest(digest, attempt):
                 await self._read_manifest(digest)
             else:
                 request = messages.ManifestRequest(manifest=digest)
                 for peer_id in list(self._channels):
                     self._send(peer_id, request)
-            if digest not in self._wholes:
+            if digest not in self._chunk_sets:
                 await asyncio.sleep(MANIFEST_RETRY_MS / 1000)
             attempt += 1
-        return self._wholes[digest].manifest
+        return self._chunk_sets[digest].manifest
 
     async def fetch(self, digest: ids.Digest) -> manifest.ChunkSet:
-        """Fetches every chunk of a manifest that is known.
+        """Fetches every chunk of a manifest that has been fetched.
 
-        A fetch of another manifest replaces one under way; chunks in common
-        are kept.
+        A fetch of another manifest replaces the current one; chunks that both
+        share are kept.
         """
         if self._target != digest:
             self._retarget(digest)
         await self._complete.wait()
-        return self._wholes[digest]
+        return self._chunk_sets[digest]
 
     async def run(self) -> None:
-        """Serves neighbours and drives fetches for ever."""
+        """Serves neighbours and runs fetches until cancelled."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self._receive_all())
             group.create_task(self._uploads.run())
-            group.create_task(self._tick_all())
+            group.create_task(self._run_ticks())
 
     def _set_rates(self, bytes_per_s: float) -> None:
         self._uploads.pacer.bytes_per_s = bytes_per_s
         self._down.bytes_per_s = bytes_per_s
 
-    def _reads_manifest(self, digest: ids.Digest, attempt: int) -> bool:
+    def _should_read_manifest(self, digest: ids.Digest, attempt: int) -> bool:
         members = [*self._members, self._vm_id]
         rank = rendezvous.order(digest, members).index(self._vm_id)
         return rank < MANIFEST_READERS or attempt > 2 * rank
@@ -242,10 +265,10 @@
         except clients.PlatformError as error:
             logs.log("manifest_unavailable", detail=error)
             return
-        self._take_manifest(digest, data)
+        self._add_manifest(digest, data)
 
-    def _take_manifest(self, digest: ids.Digest, data: bytes) -> None:
-        if digest in self._wholes:
+    def _add_manifest(self, digest: ids.Digest, data: bytes) -> None:
+        if digest in self._chunk_sets:
             return
         try:
             parsed = manifest.decode(data, digest)
@@ -253,26 +276,27 @@
             self._totals.add(counters.CounterName.CHUNKS_REJECTED, "manifest")
             logs.log("manifest_refused", manifest=digest, detail=error)
             return
-        whole = manifest.ChunkSet(parsed)
+        chunk_set = manifest.ChunkSet(parsed)
         kept = sum(
-            whole.copy_common_chunks(other) for other in self._wholes.values()
+            chunk_set.copy_common_chunks(other)
+            for other in self._chunk_sets.values()
         )
-        self._wholes[digest] = whole
+        self._chunk_sets[digest] = chunk_set
         self._manifest_bytes[digest] = data
         logs.log("manifest_known", manifest=digest, chunks_kept=kept)
 
     def _retarget(self, digest: ids.Digest) -> None:
-        whole = self._wholes[digest]
-        self._wholes.move_to_end(digest)
-        while len(self._wholes) > MANIFESTS_KEPT:
-            old, _ = self._wholes.popitem(last=False)
+        chunk_set = self._chunk_sets[digest]
+        self._chunk_sets.move_to_end(digest)
+        while len(self._chunk_sets) > MANIFESTS_KEPT:
+            old, _ = self._chunk_sets.popitem(last=False)
             self._manifest_bytes.pop(old, None)
         self._target = digest
         self._complete.clear()
         self._swarm = swarm.Swarm(
             self._vm_id,
-            whole.manifest.chunks,
-            whole.held,
+            chunk_set.manifest.chunks,
+            chunk_set.held,
             self._policy,
             self._clock.now_ms(),
             random.Random(),
@@ -311,7 +335,7 @@
                 return neighbours.choose_parent(self._vm_id, [*data_centres], 2)
             case schema.Distribution.SWARM:
                 return neighbours.choose_neighbours(
-                    self._vm_id, digest, data_centres, self._neighbours_wanted
+                    self._vm_id, digest, data_centres, self._neighbour_count
                 )
 
     def _connect(self, peer_id: ids.VmId) -> None:
@@ -393,7 +417,7 @@
             case messages.ManifestReply():
                 if message.data:
                     digest = ids.Digest(message.manifest)
-                    self._take_manifest(digest, message.data)
+                    self._add_manifest(digest, message.data)
 
     def _drop_message(self, reason: str) -> None:
         self._totals.add(counters.CounterName.MESSAGES_DROPPED, reason)
@@ -432,25 +456,25 @@
         wait_ms = self._down.reserve(len(reply.data), self._clock.now_ms())
         asyncio.get_running_loop().call_later(
             wait_ms / clock.MILLIS_PER_SECOND,
-            self._take_chunk,
+            self._add_chunk,
             ids.Digest(reply.manifest),
             reply.index,
             reply.data,
             peer_id,
         )
 
-    def _take_chunk(
+    def _add_chunk(
         self,
         digest: ids.Digest,
         index: int,
         data: bytes,
         peer_id: ids.VmId | None,
     ) -> None:
-        whole = self._wholes.get(digest)
-        if whole is None:
+        chunk_set = self._chunk_sets.get(digest)
+        if chunk_set is None:
             return
-        known = whole.get(index) is not None
-        valid = known or whole.add(index, data)
+        known = chunk_set.get(index) is not None
+        valid = known or chunk_set.add(index, data)
         source = "origin" if peer_id is None else "peer"
         if valid:
             reason = "duplicate" if known else source
@@ -467,7 +491,7 @@
             self._complete.set()
         self._wake.set()
 
-    async def _tick_all(self) -> None:
+    async def _run_ticks(self) -> None:
         while True:
             try:
                 async with asyncio.timeout(TICK_MS / 1000):
@@ -480,9 +504,9 @@
     def _tick(self) -> None:
         self._announce()
         self._drop_silent_peers()
-        self._act()
+        self._run_actions()
 
-    def _act(self) -> None:
+    def _run_actions(self) -> None:
         if self._swarm is None or self._target is None:
             return
         for action in self._swarm.next_actions(self._clock.now_ms()):
@@ -503,15 +527,15 @@
                         ),
                     )
                 case swarm.FetchFromOrigin():
-                    self._draw(self._target, action.index)
+                    self._start_origin_fetch(self._target, action.index)
 
-    def _draw(self, digest: ids.Digest, index: int) -> None:
-        task = asyncio.create_task(self._draw_chunk(digest, index))
+    def _start_origin_fetch(self, digest: ids.Digest, index: int) -> None:
+        task = asyncio.create_task(self._fetch_origin_chunk(digest, index))
         self._background.add(task)
         task.add_done_callback(self._background.discard)
 
-    async def _draw_chunk(self, digest: ids.Digest, index: int) -> None:
-        chunk_digest = self._wholes[digest].manifest.chunks[index]
+    async def _fetch_origin_chunk(self, digest: ids.Digest, index: int) -> None:
+        chunk_digest = self._chunk_sets[digest].manifest.chunks[index]
         try:
             data = await self._sources.chunk(chunk_digest)
         except clients.PlatformError as error:
@@ -523,7 +547,7 @@
                 )
             return
         self.origin_bytes += len(data)
-        self._take_chunk(digest, index, data, None)
+        self._add_chunk(digest, index, data, None)
 
     def _announce(self) -> None:
         if self._swarm is None or self._target is None:
--- a/src/marlramp/agent/uploads.py
+++ b/src/marlramp/agent/uploads.py
@@ -1,4 +1,4 @@
-"""Sends chunks to neighbours, one after the other at the paced rate."""
+"""Sends chunks to neighbours one at a time, at a paced rate."""
 
 from __future__ import annotations
 
@@ -15,7 +15,8 @@
 from marlramp.protocol import messages
 
 QUEUED_MAX = 16
-"""Requests waiting at once; a neighbour beyond that asks elsewhere."""
+"""Most requests queued at once. A neighbour whose request is refused requests
+the chunk from another agent."""
 
 
 class _Upload(msgspec.Struct, frozen=True):
@@ -25,17 +26,22 @@
 
 
 class Uploads:
-    """Queue of chunks that neighbours asked for."""
+    """Queue of the chunks that neighbours requested.
+
+    Attributes:
+      pacer: limits the rate of uploads.
+      sent_bytes: bytes of chunks sent so far.
+    """
 
     def __init__(
         self,
-        whole_of: Callable[[ids.Digest], manifest.ChunkSet | None],
+        chunk_set_of: Callable[[ids.Digest], manifest.ChunkSet | None],
         send: Callable[[ids.VmId, messages.FromPeer], bool],
         time: clock.Clock,
         bytes_per_s: float,
     ) -> None:
-        """Reads chunks through `whole_of` and sends them through `send`."""
-        self._whole_of = whole_of
+        """Reads chunks through `chunk_set_of` and sends them through `send`."""
+        self._chunk_set_of = chunk_set_of
         self._send = send
         self._clock = time
         self._queue: collections.deque[_Upload] = collections.deque()
@@ -46,7 +52,11 @@
     def request(
         self, peer_id: ids.VmId, request: messages.ChunkRequest
     ) -> None:
-        """Queues a chunk, or refuses at once what cannot be sent soon."""
+        """Queues a chunk.
+
+        Refuses the request at once if the chunk is not held or the queue is
+        full.
+        """
         digest = ids.Digest(request.manifest)
         held = self._chunk(digest, request.index) is not None
         if held and len(self._queue) < QUEUED_MAX:
@@ -59,13 +69,13 @@
         self._send(peer_id, refusal)
 
     def cancel(self, peer_id: ids.VmId, cancel: messages.ChunkCancel) -> None:
-        """Forgets a request that its neighbour withdrew."""
+        """Removes a request that its neighbour withdrew."""
         upload = _Upload(peer_id, ids.Digest(cancel.manifest), cancel.index)
         if upload in self._queue:
             self._queue.remove(upload)
 
     async def run(self) -> None:
-        """Sends for ever."""
+        """Sends queued chunks until cancelled."""
         while True:
             while not self._queue:
                 self._ready.clear()
@@ -85,5 +95,5 @@
             self.sent_bytes += len(data)
 
     def _chunk(self, digest: ids.Digest, index: int) -> bytes | None:
-        whole = self._whole_of(digest)
-        return None if whole is None else whole.get(index)
+        chunk_set = self._chunk_set_of(digest)
+        return None if chunk_set is None else chunk_set.get(index)
--- a/src/marlramp/agent/weight_sources.py
+++ b/src/marlramp/agent/weight_sources.py
@@ -1,4 +1,4 @@
-"""Draws weights from the origin and the weight store within their rates."""
+"""Fetches weights from the origin and the weight store, within rate limits."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class RatedSources:
-    """The platform's sources of weights, as one process may use them."""
+    """The platform's sources of weights, rate-limited for one process."""
 
     def __init__(
         self,
@@ -23,7 +23,7 @@
         totals: counters.Counters,
         time: clock.Clock,
     ) -> None:
-        """Uses the sources and rates in the process's settings."""
+        """Uses the sources and rates in the settings of the process."""
         self._origin: clients.WeightSource = http_clients.HttpWeightSource(
             client, platform.origin_url
         )
@@ -39,30 +39,34 @@
         self._clock = time
 
     async def manifest(self, digest: ids.Digest) -> bytes:
-        """Returns a manifest from the store, not yet verified.
+        """Returns a manifest from the weight store, not yet verified.
 
         Raises:
-          clients.PlatformError: if it is not to be had now.
+          clients.PlatformError: if the store fails or its rate limit is
+            reached.
         """
-        self._take(self._store_rate, "manifest")
+        self._consume_rate(self._store_rate, "manifest")
         return await self._store.manifest(digest)
 
     async def chunk(self, digest: str) -> bytes:
-        """Returns a chunk from the origin, or the store while that fails.
+        """Returns a chunk from the origin, or the store if the origin fails.
 
         Raises:
-          clients.PlatformError: if it is not to be had now.
+          clients.PlatformError: if the rate limit of the origin is reached, or
+            if the origin fails and the store fails or its limit is reached.
         """
-        self._take(self._origin_rate, "origin")
+        self._consume_rate(self._origin_rate, "origin")
         try:
             return await self._origin.chunk(digest)
         except clients.PlatformError as error:
             logs.log("origin_failed", detail=error)
-            self._take(self._store_rate, "store")
+            self._consume_rate(self._store_rate, "store")
             return await self._store.chunk(digest)
 
-    def _take(self, rate: limits.TokenBucket, reason: str) -> None:
+    def _consume_rate(self, rate: limits.TokenBucket, reason: str) -> None:
         wait_ms = rate.try_consume(1.0, self._clock.now_ms())
         if wait_ms > 0:
-            raise clients.PlatformError(f"own rate: {reason}", wait_ms)
+            raise clients.PlatformError(
+                f"own rate limit reached: {reason}", wait_ms
+            )
         self._totals.add(counters.CounterName.PLATFORM_READS, reason)
