--- a/src/marlramp/agent/engine_client.py
+++ b/src/marlramp/agent/engine_client.py
@@ -45,7 +45,10 @@
 
 
 class Engine(Protocol):
-    """Orders to one engine and reports from it."""
+    """Orders to one engine and reports from it.
+
+    Each kind of engine has an implementation in a module of its own.
+    """
 
     async def state(self) -> guard.EngineState:
         """Returns the versions that the engine holds and the one it serves."""
--- a/src/marlramp/agent/swarm_node.py
+++ b/src/marlramp/agent/swarm_node.py
@@ -39,8 +39,8 @@
 """Interval of announcements without new chunks, until the swarm is settled."""
 
 PEER_TIMEOUT_MS = 2_000.0
-"""A neighbour from which nothing arrives for longer is dropped, unless the swarm
-is settled."""
+"""A neighbour from which nothing arrives for longer is dropped, unless the
+swarm is settled."""
 
 MANIFEST_RETRY_MS = 400.0
 MANIFEST_READERS = 2
@@ -52,7 +52,7 @@
 """Live traffic reserves this multiple of its recent rate on the link."""
 
 LINK_SHARE_MIN = 0.05
-"""Least part of the link that weights may use, however high the live rate is."""
+"""Part of the link that weights may always use, whatever the live rate is."""
 
 BYTES_MAX = messages.MESSAGE_BYTES_MAX
 
--- a/tests/agent/replicas.py
+++ b/tests/agent/replicas.py
@@ -25,7 +25,7 @@
 
 
 def chunk_set_of(version: str) -> manifest.ChunkSet:
-    """Returns complete weights of one chunk."""
+    """Returns the complete weights of a version, which are one chunk."""
     data = version.encode()
     found = manifest.ChunkSet(
         manifest.Manifest(
