--- a/src/marlramp/agent/rollout.py
+++ b/src/marlramp/agent/rollout.py
@@ -47,7 +47,7 @@
         ...
 
     def state(self) -> swap.AttemptState:
-        """Returns whether the agent now holds the permits of all entries."""
+        """Returns the state of the attempt to collect all permits."""
         ...
 
     def withdraw(self) -> None:
