--- a/src/marlramp/direct/calls/latency_probes.py
+++ b/src/marlramp/direct/calls/latency_probes.py
@@ -1,11 +1,11 @@
 """Measures the path latency to replicas whose requests are withdrawn soon.
 
 A request that waits for an old version of the weights is withdrawn before a
-newer version becomes mandatory. The withdrawal takes the path latency to the
-replica, and the link may become congested while the request waits. Opening a
-connection measures the latency, since it passes the same queues. While the
-connection is being opened, the time that it has taken is a lower bound of the
-latency.
+newer version becomes mandatory. The withdrawal needs the path latency to reach
+the replica, and the link may become congested while the request waits. Opening
+a connection measures the latency, since its packets wait in the network queues
+that the withdrawal passes. While the connection is being opened, the time that
+it has taken is a lower bound of the latency.
 """
 
 from __future__ import annotations
--- a/src/marlramp/direct/fleet/crash_sync.py
+++ b/src/marlramp/direct/fleet/crash_sync.py
@@ -3,8 +3,9 @@
 An entry sends new crashes to other entries and to agents at once, and entries
 forward them by gossip. An entry misses crashes if it starts late, is
 partitioned or is suspended. Entries exchange digests of their ledgers and
-agents send theirs to entries; an entry whose digest differs requests what it
-lacks.
+agents send theirs to entries. An entry that receives a digest that differs from
+its own requests the crashes that it lacks; an agent that receives the request
+answers it and also requests the crashes that it lacks.
 """
 
 from __future__ import annotations
@@ -28,22 +29,23 @@
 lacks."""
 
 COMPARE_MAX_MS = 2_000.0
-"""Maximum of that time. It doubles with each answer that brings nothing new:
-full ledgers drop crashes at different times, so their digests keep differing
-although nothing can be learnt."""
+"""Upper bound of the time between two requests to entries. The time doubles
+with each answer that brings nothing new: full ledgers drop crashes at different
+times, so their digests keep differing although no crash is missing."""
 
 ANSWER_MS_PER_CRASH = 50.0
-"""Time that each crash in an answer takes up: 20 crashes per second, some
-5 kB/s."""
+"""Time that is charged for each crash in an answer: 20 crashes per second,
+some 5 kB/s. Answers are never delayed, but see `ANSWER_AHEAD_MS`."""
 
 ANSWER_AHEAD_MS = 400.0
-"""Time taken up in advance up to which agents are still sent requests. Agents
-that join together are sent a few crashes all at once, and many crashes one
-agent after the other."""
+"""Maximum time charged in advance at which agents with a different digest are
+still sent requests. Above it they are sent none, so that they request nothing
+in return. If several agents join together, a few crashes are sent to all of
+them at once, and many crashes to one agent after the other."""
 
 GATHER_MS = 5.0
-"""How long the requests that a crash aborted are collected before they are sent
-in one message."""
+"""How long changes of crashes are collected before they are sent in one
+message, so that it holds all requests that a crash aborted."""
 
 FIRST_TARGETS = 16
 """Entries that a crash noticed here is sent to at once; they forward it."""
@@ -107,10 +109,11 @@
     def on_agent_digest(self, name: str, digest: int) -> None:
         """Requests crashes from an agent whose ledger differs.
 
-        The agent then requests what it lacks itself. Agents set the pace, see
-        `crash_backup`. An entry skips an agent, and leaves it to the next
-        entry, only if its recent answers exceed its rate. If it selected among
-        the agents that differ, it would skip the same agents again and again.
+        The agent then also requests the crashes that it lacks. Agents limit how
+        often they send digests, see `crash_backup`. An entry skips an agent
+        only while the time charged for its answers exceeds `ANSWER_AHEAD_MS`;
+        the agent sends its next digest to another entry. An entry that chose
+        among the agents that differ would skip the same agents every time.
         """
         ahead_ms = self._answering_until_ms - self._clock.now_ms()
         if digest != self.digest and ahead_ms <= ANSWER_AHEAD_MS:
--- a/src/marlramp/direct/fleet/engine_digests.py
+++ b/src/marlramp/direct/fleet/engine_digests.py
@@ -22,8 +22,8 @@
 from marlramp.protocol import fleet_messages
 
 DIGEST_MS = 500.0
-"""Time between two digests while there are few cells: a third of the time for
-which a report counts."""
+"""Time between two digests while there are few cells: a third of
+`replica_view.REPORT_FRESH_MS`."""
 
 CELL_SHARE_MS = 25.0
 """Least time between two digests per cell of the fleet, so that an entry of a
@@ -47,7 +47,7 @@
         self,
         placed: placement.Placement,
         sync: member_sync.MemberSync,
-        on_report: OnReport,
+        on_remote_report: OnReport,
         time: clock.Clock,
     ) -> None:
         """Starts without reports.
@@ -55,13 +55,15 @@
         Args:
           placed: the cells.
           sync: the members.
-          on_report: called with each report of another cell and the time, in
-            milliseconds, at which it was made.
+          on_remote_report: called with each report of another cell and the
+            time, in milliseconds, at which the entry that sent the digest
+            received the report. The time omits the transit of the digest, so
+            that it is too late by that.
           time: the clock.
         """
         self._placed = placed
         self._sync = sync
-        self._on_report = on_report
+        self._on_remote_report = on_remote_report
         self._clock = time
         self._received: dict[str, _ReceivedReport] = {}
         self._sent_ms = float("-inf")
@@ -70,7 +72,7 @@
     def on_report(
         self, agent: str, report: replica_view.LoadReport | None
     ) -> None:
-        """Records an agent's own report, None if its engine is away."""
+        """Records the report of an agent, None if it has none of its engine."""
         if report is None:
             self._received.pop(agent, None)
         else:
@@ -82,7 +84,7 @@
         """Handles the reports of another cell and forwards them if required."""
         now_ms = self._clock.now_ms()
         for aged in digest.reports:
-            self._on_report(aged.report, now_ms - aged.age_ms)
+            self._on_remote_report(aged.report, now_ms - aged.age_ms)
         if digest.pass_on:
             forwarded = msgspec.structs.replace(digest, pass_on=False)
             self._sync.send_all(self._placed.cell_peers(), forwarded)
--- a/src/marlramp/direct/fleet/send_reservations.py
+++ b/src/marlramp/direct/fleet/send_reservations.py
@@ -27,10 +27,10 @@
 """Timeout of a request to a limiter."""
 
 SILENT_MS = 1_000.0
-"""How long a limiter that did not reply is tried only after the others."""
+"""Time after a missing reply during which a limiter is tried last."""
 
 NO_LIMITER_PAUSE_MS = 200.0
-"""Pause before the next reservation after no limiter has replied."""
+"""Pause before the next reservation after one without a reply of a limiter."""
 
 PAUSE_MIN_MS = 20.0
 """Least pause before the next reservation after one was denied because the
@@ -41,7 +41,8 @@
 The pauses that it assigns therefore grow with the number of denied entries."""
 
 DENIED_MS = 1_000.0
-"""How long an entry whose request was denied counts as waiting."""
+"""Time after a denial during which an entry counts towards the pause that
+denied entries are assigned."""
 
 _MS = clock.MILLIS_PER_SECOND
 
@@ -61,7 +62,7 @@
         """Starts without reservations.
 
         Args:
-          known: the known limits of replicas.
+          known: the known limits of replicas, which entries share.
           table: the replicas.
           sync: the other members.
           regions: region of each data centre.
@@ -96,9 +97,10 @@
           wait_max_ms: how long the request can wait, in milliseconds.
 
         Returns:
-          In how many milliseconds the request may be sent, or None if it can't
-          wait that long or no limiter replies; the view's limit then holds the
-          time of the next attempt in `reserve_from_ms`.
+          In how many milliseconds the request may be sent, 0 without a limit.
+          None if the request can't wait that long, no limiter replies, or the
+          limit ends before a limiter is queried; the view's limit then holds
+          the time of the next attempt in `reserve_from_ms`.
         """
         limit = view.limit
         if limit is None:
@@ -213,7 +215,10 @@
             limiter.record_reservation(self._clock.now_ms(), rate)
 
     def tick(self) -> None:
-        """Counts entries and removes the state of limits that have ended."""
+        """Removes the limiters of limits that have ended.
+
+        Also counts the entries, for `_rate`, while any limit is in force.
+        """
         if not self._known.limits.in_force():
             self._limiters.clear()
             return
@@ -300,7 +305,11 @@
         )
 
     def _rate(self, replica_id: str) -> float | None:
-        """Returns the rate per second to reserve at, None without limit."""
+        """Returns the rate per second at which this entry reserves sends.
+
+        It is the replica's limit, reduced if this entry reaches only a part of
+        the known entries, or None without a limit.
+        """
         per_s = self._known.limits.per_s(replica_id)
         if per_s is None:
             return None
--- a/src/marlramp/direct/launch.py
+++ b/src/marlramp/direct/launch.py
@@ -24,9 +24,9 @@
 EXIT_SETTINGS_REFUSED = 3
 
 SETTINGS_WAIT_MS = 1_000.0
-"""How long an unusable settings file is read again at the start. A file that is
-being written is complete within milliseconds, and a process that exits instead
-serves nothing until it is restarted."""
+"""How long reading is retried at the start if the settings file is unusable. A
+file that is being written is complete within milliseconds, and a process that
+exits instead serves nothing until it is restarted."""
 
 SETTINGS_RETRY_MS = 50.0
 """Time between two reads of an unusable settings file at the start."""
--- a/src/marlramp/direct/weights/piece_relay.py
+++ b/src/marlramp/direct/weights/piece_relay.py
@@ -30,8 +30,9 @@
 from marlramp.protocol import messages
 
 LINK_SHARE = 0.8
-"""Fraction of an entry's link that pieces may use; live requests use a tenth of
-the link. All agents of the cell request the first pieces at once."""
+"""Fraction of an entry's link that pieces may use. All agents of the cell
+request the first pieces at once and use up this fraction; live requests use a
+tenth of the link."""
 
 TICK_MS = 20.0
 """Interval between checks for pieces to fetch and announce while pieces are
@@ -43,16 +44,17 @@
 
 HELLO_MS = 1_000.0
 """Interval between hello messages to the entries that are assigned the same
-pieces, while pieces are missing. The replies replace lost announcements."""
+pieces, while assigned pieces are missing. The replies replace lost
+announcements."""
 
 DEMAND_MAX_AGE_MS = 2_000.0
 """Time after the last request of an agent that lacks pieces during which a
-version that is not the newest may be fetched from the origin. It is three times
-the interval between the requests of an agent."""
+version that is not the newest may be fetched from the origin. It is about three
+times `relay_contacts.HELLO_MS`, the interval between an agent's requests."""
 
 VERSIONS_KEPT = 3
-"""Maximum number of versions whose pieces are held: the one in force and the
-next two."""
+"""Maximum number of versions of all models whose pieces are held, enough for
+the version in force and the next two of one model."""
 
 
 class Surroundings(Protocol):
@@ -70,7 +72,7 @@
         ...
 
     def piece_ms(self) -> float:
-        """Returns the time in ms in which a piece leaves the origin."""
+        """Returns the time in ms that the origin takes to send one piece."""
         ...
 
     def origin_connections(self) -> int:
@@ -78,7 +80,10 @@
         ...
 
     def age_ms(self, wanted: version_digests.ModelVersion) -> float | None:
-        """Returns the time in ms since a version was named, None if unknown."""
+        """Returns the least time in ms since a version was announced.
+
+        It is None if the version is not announced or the time is unknown.
+        """
         ...
 
     def send_piece_message(self, name: str, message: msgspec.Struct) -> bool:
@@ -173,7 +178,7 @@
         self._origin_fetches.origin = origin
 
     def wake(self) -> None:
-        """Checks the named versions and the relaying entries at once."""
+        """Checks the announced versions and the relaying entries at once."""
         self._wake.set()
 
     async def run(self) -> None:
@@ -226,7 +231,10 @@
         return self._clock.now_ms() - version.demand_ms < DEMAND_MAX_AGE_MS
 
     def _add_version(self, wanted: version_digests.ModelVersion) -> _Version:
-        """Returns the state of a version; adds the version if it is new."""
+        """Returns the state of a version; adds the version if it is new.
+
+        If more than `VERSIONS_KEPT` versions are then held, others are dropped.
+        """
         version = self._versions.get(wanted.name)
         if version is not None:
             return version
@@ -237,11 +245,15 @@
         self._versions[wanted.name] = version
         version.start_task = asyncio.create_task(self._start_fetch(version))
         while len(self._versions) > VERSIONS_KEPT:
-            self._drop(self._oldest_version())
+            self._drop(self._version_to_drop())
         return version
 
-    def _oldest_version(self) -> str:
-        """Returns the name of the oldest version that is not the newest one."""
+    def _version_to_drop(self) -> str:
+        """Returns the name of the version to drop.
+
+        It is the version that was added first among those that are not the
+        newest of their model, or among all versions if there are none.
+        """
         for name, version in self._versions.items():
             if not self._is_newest(version.wanted):
                 return name
--- a/src/marlramp/direct/weights/rollout_times.py
+++ b/src/marlramp/direct/weights/rollout_times.py
@@ -10,7 +10,17 @@
 
 
 class Phase(enum.Enum):
-    """Phases of a version, in their order."""
+    """Phases of the rollout of a version on this VM, in their order.
+
+    Attributes:
+      HEARD: the VM has learnt of the version.
+      DIGESTS: the digests of its pieces are known.
+      FIRST_PIECE: the first piece is held.
+      COMPLETE: all pieces are held and staged at the engine; logged as
+        `whole_ms`.
+      ORDERED: the engine was ordered to load the version.
+      LOADED: the engine has loaded the version.
+    """
 
     HEARD = "heard"
     DIGESTS = "digests"
@@ -34,7 +44,8 @@
     ) -> None:
         """Records the time at which a version first reaches a phase.
 
-        The recorded times of another version are discarded.
+        The recorded times of another version are discarded. The time of the
+        first phase that is recorded is also the time of `Phase.HEARD`.
         """
         if wanted != self._wanted:
             self._wanted = wanted
@@ -42,10 +53,11 @@
         self._reached_ms.setdefault(phase, self._clock.now_ms())
 
     def log_rollout(self, age_ms: float | None, limit_ms: float | None) -> None:
-        """Logs the time of each phase, in ms since the version was heard of.
+        """Logs the time of each phase, in ms since `Phase.HEARD`.
 
         Args:
-          age_ms: time since the version was named, None if unknown.
+          age_ms: time since the version was announced to the fleet, None if
+            unknown.
           limit_ms: least time in which this VM's link can carry the version and
             the engine can load it, None if unknown.
         """
--- a/src/marlramp/entry/call.py
+++ b/src/marlramp/entry/call.py
@@ -20,7 +20,8 @@
     Attributes:
       state: attempts and delivered parts.
       waiting: the request as the queue holds it.
-      token: the run token of the call, or None.
+      token: the run token, which names the grant that the call must use, or
+        None if the dispatcher chooses a grant.
       grant: the grant of the current attempt, or None.
       attempt_id: request id of the current attempt.
       started_ms: when the current attempt started.
--- a/src/marlramp/entry/dispatcher.py
+++ b/src/marlramp/entry/dispatcher.py
@@ -84,7 +84,11 @@
 
     @property
     def active(self) -> int:
-        """Number of calls that have not ended."""
+        """Number of calls that are queued, running or waiting for a retry.
+
+        Calls past their deadline that await an agent's report are not counted.
+        Abandoned calls count until the retry that they waited for is due.
+        """
         return len(self._queued) + len(self._attempts) + len(self._backing_off)
 
     def is_linked(self, vm_id: ids.VmId) -> bool:
@@ -118,7 +122,8 @@
         """Admits a call and starts or queues it.
 
         Raises:
-          errors.CallError: if the call is refused; this entry has sent no run.
+          errors.CallError: if admission refuses the call; this entry has sent
+            no run. A full queue ends the returned call instead.
         """
         now_ms = self._clock.now_ms()
         try:
@@ -129,7 +134,7 @@
                 self._admission.check_deadline(spec, service, now_ms)
             self._admission.charge(spec, now_ms)
         except errors.CallError as error:
-            self._count_refusal(error)
+            self._count_failure(error)
             raise
         values = self._settings.tree.effective(
             spec.service_id, spec.customer_id
@@ -161,7 +166,7 @@
         self._remove(call)
         if call.grant is not None and call.token is None:
             self._send_cancel(call, self._queries.new_id(), stop=True)
-        self._count_refusal(errors.CallError(errors.ErrorKind.CANCELLED))
+        self._count_failure(errors.CallError(errors.ErrorKind.CANCELLED))
         call.end(errors.CallError(errors.ErrorKind.CANCELLED))
 
     # Messages from agents.
@@ -268,6 +273,7 @@
             if waiting is None:
                 return
             call = self._queued[waiting.request_id]
+            # `submit` has just checked a call that is admitted at this time.
             if call.admitted_ms != now_ms and self._admission.misses_deadline(
                 call.spec, call.state.resume_from, service, now_ms
             ):
@@ -422,7 +428,11 @@
     def _token_attempt_failed(
         self, call: call_module.Call, failure: errors.CallError
     ) -> None:
-        """Retries a run token if its agent was busy, else fails the call."""
+        """Retries an attempt with a run token, or fails the call.
+
+        The attempt is retried after 25 to 50 ms if the agent was busy, the
+        request did not run and the deadline is later.
+        """
         busy = failure.kind is errors.ErrorKind.UPSTREAM_BUSY
         if not busy or failure.ran is not errors.Ran.NO:
             self._fail(call, failure)
@@ -477,7 +487,11 @@
     def _check_progress(
         self, call: call_module.Call, now_ms: clock.Millis
     ) -> None:
-        """Expires a call past its deadline and fails a stalled attempt."""
+        """Expires a call past its deadline and fails a stalled stream.
+
+        A stream is stalled if no part follows its first one within
+        `part_timeout_ms`. Attempts are also checked for lost runs.
+        """
         if now_ms >= call.spec.deadline_ms:
             self._expire(call)
             return
@@ -503,7 +517,12 @@
             self._sender.send(vm_id, self._run_message(call, call.grant))
 
     def _expire(self, call: call_module.Call) -> None:
-        """Cancels a call past its deadline and reports whether it ran."""
+        """Ends a call past its deadline and reports whether it ran.
+
+        Stops the run, or only voids the grant if the call has a run token.
+        Unless a part of the answer was delivered, the call ends when the agent
+        has reported whether it ran, or after `CANCEL_WAIT_MS`.
+        """
         request_id = self._queries.new_id()
         self._send_cancel(call, request_id, stop=call.token is None)
         started = call.state.resume_from > 0
@@ -559,7 +578,7 @@
         call.end(None)
 
     def _fail(self, call: call_module.Call, failure: errors.CallError) -> None:
-        self._count_refusal(failure)
+        self._count_failure(failure)
         if call.spec.stream:
             self._admission.settle(
                 call.spec, call.state.resume_from, self._clock.now_ms()
@@ -585,7 +604,11 @@
         call.grant = None
 
     def _remove(self, call: call_module.Call) -> None:
-        """Removes a call from the queue or from the running attempts."""
+        """Removes a call from the queue or from the running attempts.
+
+        The call keeps the grant of its attempt, which the agent needs to
+        identify the run to cancel.
+        """
         if self._queued.pop(call.waiting.request_id, None) is not None:
             service = self._service(call.spec.service_id)
             service.queue.remove(call.waiting)
@@ -594,7 +617,7 @@
             self._release(call)
             call.grant = grant
 
-    def _count_refusal(self, failure: errors.CallError) -> None:
+    def _count_failure(self, failure: errors.CallError) -> None:
         self._totals.add(counters.CounterName.REFUSALS, failure.kind.value)
 
     def _ran_so_far(self, call: call_module.Call) -> errors.Ran:
--- a/src/marlramp/entry/requests.py
+++ b/src/marlramp/entry/requests.py
@@ -48,7 +48,8 @@
       model: id of the service.
       prompt: the prompt; only a text has a prefix digest.
       max_tokens: largest number of tokens to generate.
-      stream: whether the answer is streamed.
+      stream: whether the caller wants a streamed answer; the entry receives
+        a stream from the engine in any case.
     """
 
     model: str
@@ -65,7 +66,8 @@
       customer_id: the customer.
       priority: priority of the request.
       timeout_ms: time until the deadline, None for the default.
-      idempotent: whether the request may be repeated, None for the default.
+      idempotent: whether the request may be repeated. None for the default:
+        yes for a completion, else by the HTTP method.
       run_token: the run token of the request, empty for none.
     """
 
@@ -130,7 +132,9 @@
     default_timeout_ms: float,
     now_ms: clock.Millis,
 ) -> tuple[calls.CallSpec, bool]:
-    """Returns the call for a completion and whether it is streamed.
+    """Returns the call for a completion and whether the caller wants a stream.
+
+    The call itself always receives a stream from the engine.
 
     Raises:
       errors.CallError: if the body is not a completion request.
@@ -169,7 +173,7 @@
     default_timeout_ms: float,
     now_ms: clock.Millis,
 ) -> calls.CallSpec:
-    """Returns the call for a request to a plain service."""
+    """Returns the call for a request other than a completion."""
     idempotent = caller.idempotent
     if idempotent is None:
         idempotent = request.method in _IDEMPOTENT_METHODS
@@ -194,9 +198,10 @@
 
 
 def prefix_digest(prompt: str | list[object]) -> str:
-    """Returns the digest by which engines report the cached start of a prompt.
+    """Returns the digest of the first `PREFIX_CHARACTERS` of a prompt.
 
-    It is empty for a prompt that is not a text.
+    Agents report the digests of prompt starts that engines have cached. The
+    digest is empty for a prompt that is not a text.
     """
     if not isinstance(prompt, str):
         return ""
