--- a/src/marlramp/direct/fleet/engine_digests.py
+++ b/src/marlramp/direct/fleet/engine_digests.py
@@ -69,7 +69,7 @@
         self._sent_ms = float("-inf")
         self._cycle = 0
 
-    def on_report(
+    def on_own_report(
         self, agent: str, report: replica_view.LoadReport | None
     ) -> None:
         """Records the report of an agent, None if it has none of its engine."""
--- a/src/marlramp/direct/fleet/entry_fleet.py
+++ b/src/marlramp/direct/fleet/entry_fleet.py
@@ -343,7 +343,7 @@
             case fleet_messages.OwnLoads():
                 self._load_exchange.on_message(name, message)
             case fleet_messages.EngineNews():
-                self._digests.on_report(name, message.report)
+                self._digests.on_own_report(name, message.report)
                 if message.report is not None:
                     self._on_engine(message.report, self._clock.now_ms())
             case fleet_messages.EngineDigest():
--- a/tests/direct/fleet/test_engine_digests.py
+++ b/tests/direct/fleet/test_engine_digests.py
@@ -81,7 +81,7 @@
             pace=1.0,
             opens=True,
         )
-        self.digests.on_report(f"agent-{number}", report)
+        self.digests.on_own_report(f"agent-{number}", report)
 
 
 @pytest.fixture
@@ -123,7 +123,7 @@
     for entry in north:
         entry.report(1)
         entry.report(2)
-        entry.digests.on_report("agent-2", None)
+        entry.digests.on_own_report("agent-2", None)
     time.advance(replica_view.REPORT_FRESH_MS)
     for entry in north:
         entry.digests.tick()
