--- a/src/marlramp/direct/fleet/crash_sync.py
+++ b/src/marlramp/direct/fleet/crash_sync.py
@@ -35,7 +35,8 @@
 
 ANSWER_MS_PER_CRASH = 50.0
 """Time that is charged for each crash in an answer: 20 crashes per second,
-some 5 kB/s. Answers are never delayed, but see `ANSWER_AHEAD_MS`."""
+some 5 kB/s. No answer is delayed by the charge; `ANSWER_AHEAD_MS` limits the
+requests to agents."""
 
 ANSWER_AHEAD_MS = 400.0
 """Maximum time charged in advance at which agents with a different digest are
@@ -45,7 +46,7 @@
 
 GATHER_MS = 5.0
 """How long changes of crashes are collected before they are sent in one
-message, so that it holds all requests that a crash aborted."""
+message; one crash may abort several requests."""
 
 FIRST_TARGETS = 16
 """Entries that a crash noticed here is sent to at once; they forward it."""
--- a/src/marlramp/direct/fleet/engine_digests.py
+++ b/src/marlramp/direct/fleet/engine_digests.py
@@ -57,8 +57,8 @@
           sync: the members.
           on_remote_report: called with each report of another cell and the
             time, in milliseconds, at which the entry that sent the digest
-            received the report. The time omits the transit of the digest, so
-            that it is too late by that.
+            received the report. The transit time of the digest is not known,
+            so that the report seems younger by it.
           time: the clock.
         """
         self._placed = placed
--- a/src/marlramp/direct/launch.py
+++ b/src/marlramp/direct/launch.py
@@ -1,7 +1,8 @@
 """Starts the daemon of the direct path with as few imports as possible.
 
 A process serves no request until its modules are loaded. This module therefore
-does not import the command line, the metrics exporter or the grants path.
+does not import the command line, the metrics exporter or the grants path, on
+which agents hand out permissions for single requests.
 """
 
 from __future__ import annotations
@@ -22,6 +23,7 @@
 
 EXIT_OK = 0
 EXIT_SETTINGS_REFUSED = 3
+"""Exit code if no settings file is named or the file is unusable."""
 
 SETTINGS_WAIT_MS = 1_000.0
 """How long reading is retried at the start if the settings file is unusable. A
--- a/src/marlramp/direct/weights/piece_relay.py
+++ b/src/marlramp/direct/weights/piece_relay.py
@@ -2,7 +2,8 @@
 
 `core.relay_assignment` decides which pieces an entry holds, `core.relay_fetch`
 when and from which source they are fetched. Every piece is verified before it
-is passed on.
+is passed on. The classes of `core.manifest` and the counters call a piece a
+chunk; the field `manifest` of messages holds the name of a version.
 """
 
 from __future__ import annotations
--- a/src/marlramp/entry/call.py
+++ b/src/marlramp/entry/call.py
@@ -22,7 +22,8 @@
       waiting: the request as the queue holds it.
       token: the run token, which names the grant that the call must use, or
         None if the dispatcher chooses a grant.
-      grant: the grant of the current attempt, or None.
+      grant: the agent's single-use permission for the current attempt, or
+        None.
       attempt_id: request id of the current attempt.
       started_ms: when the current attempt started.
       sent: whether the current attempt was passed to a socket.
