--- a/src/marlramp/direct/fleet/entry_fleet.py
+++ b/src/marlramp/direct/fleet/entry_fleet.py
@@ -138,12 +138,12 @@
         self._load_exchange = load_exchange.LoadExchange(
             self._placed, self.sync, table, totals, time
         )
-        self._relay_surroundings = relay_context.RelayContext(
+        self._relay_context = relay_context.RelayContext(
             known, self._placed, self.sync, time
         )
         self._relay = piece_relay.PieceRelay(
             own.vm_id,
-            self._relay_surroundings,
+            self._relay_context,
             settings.link_bytes_per_s,
             totals,
             time,
@@ -243,7 +243,7 @@
 
     def _apply_origin(self) -> None:
         """Applies the origin of the configuration if it changed."""
-        address = self._relay_surroundings.origin()
+        address = self._relay_context.origin()
         if address and address != self._origin:
             self._origin = address
             self._relay.set_origin(self._make_origin(address))
--- a/src/marlramp/direct/fleet/relay_context.py
+++ b/src/marlramp/direct/fleet/relay_context.py
@@ -22,7 +22,7 @@
 class RelayContext:
     """Announced versions, entries that relay pieces, and sending to others.
 
-    Implements `piece_relay.Surroundings`.
+    Implements `piece_relay.EntryState`.
     """
 
     def __init__(
--- a/src/marlramp/direct/weights/piece_relay.py
+++ b/src/marlramp/direct/weights/piece_relay.py
@@ -55,7 +55,7 @@
 next two."""
 
 
-class Surroundings(Protocol):
+class EntryState(Protocol):
     """What the relay queries from the entry that it belongs to."""
 
     def locations(self) -> Mapping[str, relay_assignment.Location]:
@@ -129,7 +129,7 @@
     def __init__(
         self,
         own: str,
-        surroundings: Surroundings,
+        entry: EntryState,
         link_bytes_per_s: float,
         totals: counters.Counters,
         time: clock.Clock,
@@ -139,7 +139,7 @@
 
         Args:
           own: name of this entry.
-          surroundings: the entry that the relay belongs to.
+          entry: the entry that the relay belongs to.
           link_bytes_per_s: rate of the VM's link.
           totals: counters.
           time: the clock.
@@ -147,11 +147,11 @@
             seeded ones make runs repeatable.
         """
         self._own = own
-        self._surroundings = surroundings
+        self._entry = entry
         self._rate = link_bytes_per_s * LINK_SHARE
         self._totals = totals
         self._clock = time
-        self._send = surroundings.send_piece_message
+        self._send = entry.send_piece_message
         self._digests = version_digests.VersionDigests(
             own, self._others, self._send, time, rng, queries_fetchers=True
         )
@@ -207,7 +207,7 @@
         return [name for name in self._locations if name != self._own]
 
     def _add_newest(self) -> None:
-        newest = self._surroundings.wanted()
+        newest = self._entry.wanted()
         self._newest = {wanted.model: wanted for wanted in newest}
         for wanted in newest:
             self._add_version(wanted)
@@ -263,9 +263,9 @@
             )
         )
         version.fetch = relay_fetch.RelayFetch(
-            self._surroundings.piece_ms(),
-            self._surroundings.origin_connections(),
-            self._surroundings.age_ms(version.wanted),
+            self._entry.piece_ms(),
+            self._entry.origin_connections(),
+            self._entry.age_ms(version.wanted),
             self._clock.now_ms(),
         )
         version.fetch.set_assignments(
@@ -288,7 +288,7 @@
         passes on the pieces that are still in flight to it, and meanwhile they
         are assigned to other entries too.
         """
-        locations = self._surroundings.locations()
+        locations = self._entry.locations()
         if locations == self._locations or self._own not in locations:
             return
         gone = self._locations.keys() - locations.keys()
--- a/src/marlramp/direct/weights/weights_loader.py
+++ b/src/marlramp/direct/weights/weights_loader.py
@@ -96,7 +96,7 @@
     LOADING = "loading"
 
 
-class Surroundings(Protocol):
+class AgentState(Protocol):
     """What the loader queries from the agent that it belongs to."""
 
     def wanted(self) -> version_digests.ModelVersion | None:
@@ -163,7 +163,7 @@
 
     def __init__(
         self,
-        surroundings: Surroundings,
+        agent: AgentState,
         engine: Engine,
         exchange: piece_exchange.PieceExchange,
         state_changed: Callable[[], None],
@@ -173,14 +173,14 @@
         """Starts idle; `run` starts the work.
 
         Args:
-          surroundings: the agent that the loader belongs to.
+          agent: the agent that the loader belongs to.
           engine: the engine on this VM.
           exchange: fetches the pieces.
           state_changed: called after each change of `state`.
           totals: counters.
           time: the clock.
         """
-        self._surroundings = surroundings
+        self._agent = agent
         self._engine = engine
         self._exchange = exchange
         self._state_changed = state_changed
@@ -209,7 +209,7 @@
         self._staged_version = None
         self._set_state(LoaderState.IDLE)
         while True:
-            wanted = self._surroundings.wanted()
+            wanted = self._agent.wanted()
             if wanted is None:
                 await asyncio.sleep(POLL_MS / _MS)
                 continue
@@ -228,10 +228,8 @@
         if chunk_set.held:
             self._times.record_phase(wanted, rollout_times.Phase.FIRST_PIECE)
         # Pieces are fetched while the engine starts, too.
-        self._exchange.start_fetch(
-            wanted, is_new=self._surroundings.is_new(wanted)
-        )
-        report = self._surroundings.report()
+        self._exchange.start_fetch(wanted, is_new=self._agent.is_new(wanted))
+        report = self._agent.report()
         if report is None:
             self._staged_version = None
             await asyncio.sleep(POLL_MS / _MS)
@@ -326,7 +324,7 @@
         if report.weights == 0:
             return True
         complete_ms = self._complete_ms[wanted]
-        start_ms = self._surroundings.load_start_ms(wanted, complete_ms)
+        start_ms = self._agent.load_start_ms(wanted, complete_ms)
         return self._clock.now_ms() >= start_ms
 
     async def _load(
@@ -345,13 +343,13 @@
             requests are given time to end.
         """
         await self._repair_staged(wanted, chunk_set)
-        if self._surroundings.wanted() != wanted:
+        if self._agent.wanted() != wanted:
             return
         self._set_state(LoaderState.LOADING)
         if serving:
             complete_ms = self._complete_ms[wanted]
-            await self._drain(self._surroundings.drain_ms(wanted, complete_ms))
-        report = await self._surroundings.read_report()
+            await self._drain(self._agent.drain_ms(wanted, complete_ms))
+        report = await self._agent.read_report()
         if report is None or report.born_ms != self._staged_born_ms:
             self._set_state(LoaderState.IDLE)
             return
@@ -364,7 +362,7 @@
                 wanted.model,
                 wanted.version,
                 report.order_number,
-                cut=self._surroundings.may_cut(),
+                cut=self._agent.may_cut(),
             )
         except clients.OrderRefusedError as error:
             logs.log("load_refused", name=wanted.name, detail=error)
@@ -385,8 +383,8 @@
         if loaded:
             self._times.record_phase(wanted, rollout_times.Phase.LOADED)
             self._times.log_rollout(
-                self._surroundings.age_ms(wanted),
-                self._surroundings.limit_ms(),
+                self._agent.age_ms(wanted),
+                self._agent.limit_ms(),
             )
         self._set_state(LoaderState.IDLE)
 
@@ -395,7 +393,7 @@
         end_ms = self._clock.now_ms() + drain_ms
         await asyncio.sleep(CLOSE_NOTICE_MS / _MS)
         while self._clock.now_ms() < end_ms:
-            report = await self._surroundings.read_report()
+            report = await self._agent.read_report()
             if report is None or report.running + report.waiting == 0:
                 return
             await asyncio.sleep(LOAD_POLL_MS / _MS)
@@ -423,7 +421,7 @@
     async def _wait_loaded(self, wanted: version_digests.ModelVersion) -> bool:
         end_ms = self._clock.now_ms() + LOAD_TIMEOUT_MS
         while self._clock.now_ms() < end_ms:
-            report = await self._surroundings.read_report()
+            report = await self._agent.read_report()
             if report is None:
                 return False
             if report.weights == wanted.version:
--- a/tests/direct/fleet/virtual_fleet.py
+++ b/tests/direct/fleet/virtual_fleet.py
@@ -31,7 +31,7 @@
 
 
 class Alone:
-    """The surroundings of a membership that ignore all events."""
+    """State of an entry that ignores all events of the membership."""
 
     revision = 0
     crash_digest = 0
@@ -112,7 +112,7 @@
     def name(self) -> str:
         return self.member.vm_id
 
-    # Surroundings of the membership.
+    # State of the entry that the membership queries.
 
     def on_member(self, member: members.Member) -> None:
         self.agents_met.append(member.vm_id)
