--- a/src/marlramp/direct/agent_daemon.py
+++ b/src/marlramp/direct/agent_daemon.py
@@ -469,11 +469,11 @@
             # A version that cannot be loaded must not keep requests away.
             return None
         now_ms = self._clock.now_ms()
-        ready_at_ms = self._loader.complete_ms(wanted)
-        if ready_at_ms is None:
-            ready_at_ms = now_ms + arrives_in_ms
-        cut_ms = self.load_start_ms(wanted, ready_at_ms)
-        cut_ms += self.drain_ms(wanted, ready_at_ms)
+        pieces_ready_ms = self._loader.pieces_ready_ms(wanted)
+        if pieces_ready_ms is None:
+            pieces_ready_ms = now_ms + arrives_in_ms
+        cut_ms = self.load_start_ms(wanted, pieces_ready_ms)
+        cut_ms += self.drain_ms(wanted, pieces_ready_ms)
         return max(0.0, cut_ms - now_ms)
 
     async def _tick_all(self) -> None:
--- a/src/marlramp/direct/weights/weights_loader.py
+++ b/src/marlramp/direct/weights/weights_loader.py
@@ -112,24 +112,24 @@
         ...
 
     def load_start_ms(
-        self, wanted: version_digests.ModelVersion, complete_ms: float
+        self, wanted: version_digests.ModelVersion, pieces_ready_ms: float
     ) -> float:
         """Returns the time from which on the engine may load a version.
 
         Args:
           wanted: the version.
-          complete_ms: time at which all its pieces were held.
+          pieces_ready_ms: time at which all its pieces were held.
         """
         ...
 
     def drain_ms(
-        self, wanted: version_digests.ModelVersion, complete_ms: float
+        self, wanted: version_digests.ModelVersion, pieces_ready_ms: float
     ) -> float:
         """Returns how many ms running requests may go on before the load.
 
         Args:
           wanted: the version.
-          complete_ms: time at which all its pieces were held.
+          pieces_ready_ms: time at which all its pieces were held.
         """
         ...
 
@@ -191,16 +191,18 @@
         self._staged_born_ms: int | None = None
         self._verified_ms = float("-inf")
         self._times = rollout_times.RolloutTimes(time)
-        self._complete_ms: dict[version_digests.ModelVersion, float] = {}
+        self._pieces_ready_ms: dict[version_digests.ModelVersion, float] = {}
         self.state = LoaderState.IDLE
 
-    def complete_ms(self, wanted: version_digests.ModelVersion) -> float | None:
+    def pieces_ready_ms(
+        self, wanted: version_digests.ModelVersion
+    ) -> float | None:
         """Returns the time at which all pieces of a version were held first.
 
         Returns:
           The time in ms, None while pieces are missing.
         """
-        return self._complete_ms.get(wanted)
+        return self._pieces_ready_ms.get(wanted)
 
     async def run(self) -> None:
         """Follows the named version until cancelled."""
@@ -257,8 +259,8 @@
             return
         await self._stage_new(wanted, chunk_set)
         self._times.record_phase(wanted, rollout_times.Phase.COMPLETE)
-        if wanted not in self._complete_ms:
-            self._complete_ms = {wanted: self._clock.now_ms()}
+        if wanted not in self._pieces_ready_ms:
+            self._pieces_ready_ms = {wanted: self._clock.now_ms()}
         if self._may_load(wanted, report):
             await self._load(wanted, chunk_set, serving=report.weights > 0)
             return
@@ -323,8 +325,8 @@
             return False
         if report.weights == 0:
             return True
-        complete_ms = self._complete_ms[wanted]
-        start_ms = self._agent.load_start_ms(wanted, complete_ms)
+        pieces_ready_ms = self._pieces_ready_ms[wanted]
+        start_ms = self._agent.load_start_ms(wanted, pieces_ready_ms)
         return self._clock.now_ms() >= start_ms
 
     async def _load(
@@ -347,8 +349,8 @@
             return
         self._set_state(LoaderState.LOADING)
         if serving:
-            complete_ms = self._complete_ms[wanted]
-            await self._drain(self._agent.drain_ms(wanted, complete_ms))
+            pieces_ready_ms = self._pieces_ready_ms[wanted]
+            await self._drain(self._agent.drain_ms(wanted, pieces_ready_ms))
         report = await self._agent.read_report()
         if report is None or report.born_ms != self._staged_born_ms:
             self._set_state(LoaderState.IDLE)
--- a/tests/direct/weights/test_weights_loader.py
+++ b/tests/direct/weights/test_weights_loader.py
@@ -93,12 +93,12 @@
         return self.report()
 
     def load_start_ms(
-        self, wanted: version_digests.ModelVersion, complete_ms: float
+        self, wanted: version_digests.ModelVersion, pieces_ready_ms: float
     ) -> float:
         return float("-inf")
 
     def drain_ms(
-        self, wanted: version_digests.ModelVersion, complete_ms: float
+        self, wanted: version_digests.ModelVersion, pieces_ready_ms: float
     ) -> float:
         return 50.0
 
