--- a/src/marlramp/direct/calls/forwarder.py
+++ b/src/marlramp/direct/calls/forwarder.py
@@ -59,11 +59,11 @@
 class Latencies(Protocol):
     """Histograms of the latencies that callers see."""
 
-    def record_first_event(self, taken_ms: float) -> None:
+    def record_first_event(self, elapsed_ms: float) -> None:
         """Records the time from a send to the first event of a stream."""
         ...
 
-    def record_answer(self, taken_ms: float) -> None:
+    def record_answer(self, elapsed_ms: float) -> None:
         """Records the time from a request to the end of its answer."""
         ...
 
--- a/src/marlramp/direct/fleet/catalog_sync.py
+++ b/src/marlramp/direct/fleet/catalog_sync.py
@@ -90,7 +90,7 @@
         if revision > self._catalog.revision and not reading:
             self._request_changes(name)
 
-    def on_update(self, name: str, update: fleet_messages.CatalogNews) -> None:
+    def on_updates(self, name: str, update: fleet_messages.CatalogNews) -> None:
         """Applies changes from another entry, and forwards them if requested.
 
         If the update does not follow the own revision without a gap, requests
--- a/src/marlramp/direct/fleet/crash_sync.py
+++ b/src/marlramp/direct/fleet/crash_sync.py
@@ -85,7 +85,9 @@
         self._send_scheduled = False
         self._totals = totals
         self._clock = time
-        self._gossip: gossip.GossipQueue[ids.CrashId] = gossip.GossipQueue()
+        self._gossip_queue: gossip.GossipQueue[ids.CrashId] = (
+            gossip.GossipQueue()
+        )
         self._compare_pause_ms = COMPARE_MS
         self._compared_ms = float("-inf")
         self._answering_until_ms = float("-inf")
@@ -153,7 +155,7 @@
             self._record.tick(now_ms)
         self._queue_changed(now_ms)
         crashes = self._record.ledger.export(
-            self._gossip.next_batch(now_ms), now_ms
+            self._gossip_queue.next_batch(now_ms), now_ms
         )
         if crashes:
             self._sync.send_gossip(fleet_messages.CrashNews(crashes=crashes))
@@ -184,7 +186,7 @@
         """Queues changed crashes for gossip and returns them."""
         changed = self._record.pop_changed()
         for crash in changed:
-            self._gossip.add(crash, crash, now_ms)
+            self._gossip_queue.add(crash, crash, now_ms)
         return changed
 
     def _sample(self, vm_ids: list[str], count: int) -> list[str]:
--- a/src/marlramp/direct/fleet/entry_fleet.py
+++ b/src/marlramp/direct/fleet/entry_fleet.py
@@ -132,7 +132,7 @@
         self.limits = entry_limits.EntryLimits(
             self.sync, table, settings.regions, totals, time
         )
-        self._guide = agent_coordinator.AgentCoordinator(
+        self._coordinator = agent_coordinator.AgentCoordinator(
             known, self._placed, self.sync, time
         )
         self._load_exchange = load_exchange.LoadExchange(
@@ -237,7 +237,7 @@
     def _changed(self, changes: list[catalog.Change]) -> None:
         self._on_changes(changes)
         if any(not isinstance(c, catalog.ReplicaChange) for c in changes):
-            self._guide.send_weights_to_all()
+            self._coordinator.send_weights_to_all()
             self._apply_origin()
             self._relay.wake()
 
@@ -327,7 +327,7 @@
                 )
                 self.on_revision(name, message.revision)
             case fleet_messages.CatalogNews():
-                self._catalog_sync.on_update(name, message)
+                self._catalog_sync.on_updates(name, message)
             case fleet_messages.CatalogRequest():
                 self._catalog_sync.send_changes(name, message.after)
             case fleet_messages.VersionAgesRequest():
@@ -349,7 +349,7 @@
             case fleet_messages.EngineDigest():
                 self._digests.on_digest(message)
             case fleet_messages.NeighboursRequest():
-                self._guide.send_full_update(name)
+                self._coordinator.send_full_update(name)
 
     def _on_engine(
         self, report: replica_view.LoadReport, reported_ms: float
@@ -400,7 +400,7 @@
     def on_member(self, member: members.Member) -> None:
         """Sends an agent that introduced itself what it needs to know."""
         if member.kind is members.MemberKind.AGENT:
-            self._guide.send_full_update(member.vm_id)
+            self._coordinator.send_full_update(member.vm_id)
 
     def on_revision(self, name: str, revision: int) -> None:
         """Handles the revision of another entry's catalog."""
@@ -419,7 +419,7 @@
         divided = self._placed.refresh()
         if divided:
             self._on_cell(self._placed.cell_hosts())
-        self._guide.tick(divided=divided)
+        self._coordinator.tick(divided=divided)
         self._digests.tick()
         self._crash_sync.tick()
         self.limits.tick()
--- a/src/marlramp/direct/fleet/limit_sync.py
+++ b/src/marlramp/direct/fleet/limit_sync.py
@@ -63,7 +63,7 @@
         self._totals = totals
         self._clock = time
         self._rng = rng
-        self._gossip: gossip.GossipQueue[str] = gossip.GossipQueue()
+        self._gossip_queue: gossip.GossipQueue[str] = gossip.GossipQueue()
         self._compared_ms = float("-inf")
         self._unreadable = seen_values.SeenValues()
 
@@ -163,7 +163,7 @@
         for replica_id in self.limits.in_force():
             self._update_view(replica_id)
         updates = self.limits.updates_of(
-            self._gossip.next_batch(now_ms), now_ms
+            self._gossip_queue.next_batch(now_ms), now_ms
         )
         if updates:
             self._sync.send_gossip(fleet_messages.LimitNews(limits=updates))
@@ -184,7 +184,7 @@
         if change is replica_limits.Change.NONE or known is None:
             return
         now_ms = self._clock.now_ms()
-        self._gossip.add(replica_id, replica_id, now_ms)
+        self._gossip_queue.add(replica_id, replica_id, now_ms)
         self._totals.add(counters.CounterName.REPLICA_LIMITS, change.value)
         logs.log(
             f"replica_limit_{change.value}",
--- a/tests/direct/fleet/test_version_ages.py
+++ b/tests/direct/fleet/test_version_ages.py
@@ -180,7 +180,7 @@
     acknowledged_ms = read_version(reader, time)
     update = reader.member.take_update()
     time.advance(PATH_LATENCY_MS)
-    other.sync.on_update("entry-1", update)
+    other.sync.on_updates("entry-1", update)
     assert other.named_ms() <= acknowledged_ms
 
 
@@ -193,10 +193,10 @@
     acknowledged_ms = read_version(reader, time)
     update = msgspec.structs.replace(reader.member.take_update(), pass_on=True)
     time.advance(PATH_LATENCY_MS)
-    relay.sync.on_update("entry-1", update)
+    relay.sync.on_updates("entry-1", update)
     update = relay.member.take_update()
     time.advance(PATH_LATENCY_MS)
-    other.sync.on_update("entry-2", update)
+    other.sync.on_updates("entry-2", update)
     assert other.named_ms() <= acknowledged_ms
 
 
@@ -223,12 +223,12 @@
         reader.member.take_update(), pass_on=True, told_near=False
     )
     reader.sync.send_changes("entry-2", 0)
-    relay.sync.on_update("entry-1", reader.member.take_update())
+    relay.sync.on_updates("entry-1", reader.member.take_update())
     assert take_recipients(relay) == []
-    relay.sync.on_update("entry-1", update)
+    relay.sync.on_updates("entry-1", update)
     assert take_recipients(relay) == ["entry-3"]
     # A change is forwarded once; the other reader has a relay of its own.
-    relay.sync.on_update("entry-4", update)
+    relay.sync.on_updates("entry-4", update)
     assert take_recipients(relay) == []
 
 
@@ -242,9 +242,9 @@
     update = msgspec.structs.replace(
         reader.member.take_update(), pass_on=True, told_near=False
     )
-    first.sync.on_update("entry-1", update)
-    second.sync.on_update("entry-2", first.member.take_update())
-    second.sync.on_update("entry-1", update)
+    first.sync.on_updates("entry-1", update)
+    second.sync.on_updates("entry-2", first.member.take_update())
+    second.sync.on_updates("entry-1", update)
     assert take_recipients(second) == []
 
 
@@ -443,10 +443,10 @@
     reader.sync.publish(3, [change])
     update = msgspec.structs.replace(reader.member.take_update(), pass_on=True)
     time.advance(PATH_LATENCY_MS)
-    relay.sync.on_update("entry-1", update)
+    relay.sync.on_updates("entry-1", update)
     update = relay.member.take_update()
     time.advance(PATH_LATENCY_MS)
-    other.sync.on_update("entry-2", update)
+    other.sync.on_updates("entry-2", update)
     named = other.known.targets["m"].named
     assert [each.version for each in named] == [2, 3]
     bound_ms = other.known.targets["m"].next_counts_from_ms(1)
@@ -642,7 +642,7 @@
     reader.known.apply([config], time.now_ms())
     reader.known.advance(4)
     reader.sync.publish(2, [config])
-    other.sync.on_update("entry-1", reader.member.take_update())
+    other.sync.on_updates("entry-1", reader.member.take_update())
     assert "m" in other.known.targets or other.known.revision < 3
 
 
@@ -660,5 +660,5 @@
     reader.known.apply([config], time.now_ms())
     reader.known.advance(4)
     reader.sync.publish(2, [config])
-    other.sync.on_update("entry-1", reader.member.take_update())
+    other.sync.on_updates("entry-1", reader.member.take_update())
     assert "m" in other.known.targets or other.known.revision < 4
