--- a/src/marlramp/core/agent_table.py
+++ b/src/marlramp/core/agent_table.py
@@ -155,7 +155,7 @@
             info.heard_ms = now_ms
             info.heartbeat_ms = now_ms
 
-    def record_contact(self, vm_id: ids.VmId, now_ms: clock.Millis) -> None:
+    def record_message(self, vm_id: ids.VmId, now_ms: clock.Millis) -> None:
         """Records that an agent sent a message of any kind."""
         info = self._agents.get(vm_id)
         if info is not None:
--- a/src/marlramp/direct/calls/replica_signals.py
+++ b/src/marlramp/direct/calls/replica_signals.py
@@ -114,7 +114,7 @@
     ) -> None:
         replica_id = view.replica.replica_id
         if answer.retry_after_unreadable:
-            self._log_unreadable(replica_id, answer.retry_after_unreadable)
+            self._record_unreadable(replica_id, answer.retry_after_unreadable)
         if answer.retry_after_ms is None:
             return
         change = view.availability.record_pause(
@@ -134,7 +134,7 @@
             source="answer",
         )
 
-    def _log_unreadable(self, replica_id: str, value: str) -> None:
+    def _record_unreadable(self, replica_id: str, value: str) -> None:
         self._totals.add(counters.CounterName.REPLICA_PAUSES, "unreadable")
         if self._unreadable.is_new(replica_id, value):
             logs.log("retry_after_unreadable", replica=replica_id, value=value)
--- a/src/marlramp/entry/daemon.py
+++ b/src/marlramp/entry/daemon.py
@@ -298,7 +298,7 @@
         self, link_id: links.LinkId, message: messages.FromAgent
     ) -> None:
         vm_id = ids.VmId(link_id.vm_id)
-        self._table.record_contact(vm_id, self._clock.now_ms())
+        self._table.record_message(vm_id, self._clock.now_ms())
         match message:
             case messages.PartsBatch():
                 self._dispatcher.handle_parts(message)
--- a/tests/core/test_agent_table.py
+++ b/tests/core/test_agent_table.py
@@ -106,7 +106,7 @@
     table: agent_table.AgentTable, time: clock.ManualClock
 ) -> None:
     time.advance(agent_table.HEARD_TIMEOUT_MS + 1)
-    table.record_contact(ids.VmId("vm-3"), time.now_ms())
+    table.record_message(ids.VmId("vm-3"), time.now_ms())
     assert len(table.timed_out(time.now_ms())) == 3
 
 
--- a/tests/core/test_crash_ledger.py
+++ b/tests/core/test_crash_ledger.py
@@ -70,7 +70,7 @@
     assert record.is_blocked(CULPRIT)
 
 
-def test_request_that_followed_the_culprit_is_not_condemned(
+def test_request_that_followed_the_culprit_is_not_blocked(
     record: crash_record.CrashRecord,
 ) -> None:
     # The innocent request was retried at the replicas that the culprit reached
