--- a/src/marlramp/core/availability.py
+++ b/src/marlramp/core/availability.py
@@ -6,7 +6,7 @@
 shows them as healthy. Every entry learns this from the answers that it receives
 itself, and a replica gives many entries one and the same retry time.
 
-Therefore a pause that a replica asked for lasts to its end, and only a restart
+Therefore a pause that a replica requested lasts to its end, and only a restart
 of the replica ends it earlier. Entries return to the replica at different
 times. After refusals, one request at a time tests whether the replica accepts
 requests again, while the others go to replicas that serve them.
@@ -54,7 +54,7 @@
 
     Attributes:
       NONE: the pause is unchanged.
-      PAUSED: the replica asked for a pause and was not paused before.
+      PAUSED: the replica requested a pause and was not paused before.
       EXTENDED: the replica extended its pause.
     """
 
@@ -69,7 +69,7 @@
     A restarted replica gets a new object.
 
     Attributes:
-      paused_until_ms: end of the pause that the replica asked for.
+      paused_until_ms: end of the pause that the replica requested.
       paused_since_ms: start of the current or last pause.
       leaving_since_ms: when the replica first announced that it leaves, None
         before.
@@ -94,7 +94,7 @@
     def record_pause(
         self, wait_ms: float, jitter: float, now_ms: clock.Millis
     ) -> Change:
-        """Records a pause that the replica asked for.
+        """Records a pause that the replica requested.
 
         A later answer can extend a pause, but not shorten it.
 
@@ -185,7 +185,7 @@
     # State at a time.
 
     def is_paused(self, now_ms: clock.Millis) -> bool:
-        """Returns whether a pause that the replica asked for is in force."""
+        """Returns whether a pause that the replica requested is in force."""
         return now_ms < self.paused_until_ms
 
     @property
--- a/src/marlramp/core/guard.py
+++ b/src/marlramp/core/guard.py
@@ -42,7 +42,7 @@
 
 
 class Target(msgspec.Struct, frozen=True):
-    """The version that the settings ask for.
+    """The version that the settings specify.
 
     Attributes:
       model: the model.
@@ -110,7 +110,7 @@
         """Returns which version may be served now.
 
         Args:
-          target: version that the settings ask for, None if there is none.
+          target: version that the settings specify, None if there is none.
           now_ms: the time.
         """
         state = self._state
--- a/src/marlramp/core/relay_assignment.py
+++ b/src/marlramp/core/relay_assignment.py
@@ -1,13 +1,14 @@
 """Assigns the pieces of a version to entries, which relay them to agents.
 
-Load pattern: when a version is named, all agents of a region lack all of its
-pieces at once. The links of engines' VMs are narrow and also carry the events
-of live answers; the links of entries are wide. Therefore one entry of each cell
-holds each piece for the agents of the cell. The first of these entries in the
-rendezvous order of the whole fleet fetches the piece from the origin, the first
-of each other region fetches it from that entry, and the remaining entries fetch
-it from the first of their region. One copy leaves the origin, one copy crosses
-into each region, and each entry holds only a part of a version.
+Load pattern: when a version is announced, all agents of a region lack all of
+its pieces at once. The links of engines' VMs are narrow and also carry the
+events of live answers; the links of entries are wide. Therefore one entry of
+each cell holds each piece for the agents of the cell. The first of these
+entries in the rendezvous order of the whole fleet fetches the piece from the
+origin, the first of each other region fetches it from that entry, and the
+remaining entries fetch it from the first of their region. One copy leaves the
+origin, one copy crosses into each region, and each entry holds only a part of a
+version.
 
 Entries that know the same members compute the same assignments. While their
 views differ, a piece may be held twice, or the next entry in the order fetches
--- a/src/marlramp/core/relay_fetch.py
+++ b/src/marlramp/core/relay_fetch.py
@@ -60,8 +60,8 @@
 that the origin reset, and the fetch is retried sooner."""
 
 NEW_VERSION_MS = 2_000.0
-"""A version that was named less than this time ago is new: no other entry holds
-it from before."""
+"""A version that was announced less than this time ago is new: no other entry
+holds it from before."""
 
 HOLDER_QUERY_MS = 150.0
 """Wait before an entry fetches a version from the origin that other entries may
@@ -126,7 +126,7 @@
         Args:
           piece_ms: time that a piece takes to leave the origin.
           connections: number of connections that the origin accepts in total.
-          age_ms: time since the version was named, None if it is not known.
+          age_ms: time since the version was announced, None if it is not known.
           now_ms: the current time.
         """
         self._piece_ms = piece_ms
--- a/src/marlramp/core/replica_view.py
+++ b/src/marlramp/core/replica_view.py
@@ -143,7 +143,7 @@
       running: number of running requests in the last load report.
       waiting: number of waiting requests in the last load report.
       load_ms: time of the last load report.
-      seen_weights: version that the last answer named, None before the first.
+      seen_weights: version that the last answer stated, None before the first.
       seen_ms: when that answer arrived.
       answer_ms: smoothed time of a plain answer.
       answers: number of plain answers so far.
--- a/src/marlramp/core/rollout_limit.py
+++ b/src/marlramp/core/rollout_limit.py
@@ -1,9 +1,9 @@
 """Computes the earliest time at which the links allow new weights in force.
 
-Load pattern: when a version is named, all VMs lack it at once. Its pieces leave
-the origin once, each VM receives them over its own link, and all links together
-forward them. The slowest of these three transfers sets the lower limit that the
-duration of a rollout is compared with.
+Load pattern: when a version is announced, all VMs lack it at once. Its pieces
+leave the origin once, each VM receives them over its own link, and all links
+together forward them. The slowest of these three transfers sets the lower limit
+that the duration of a rollout is compared with.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 class Limit(msgspec.Struct, frozen=True):
     """Earliest times at which engines can serve a version.
 
-    All times count from when the version is named.
+    All times count from when the version is announced.
 
     Attributes:
       first_ms: when one engine can serve the version.
--- a/src/marlramp/core/swap_schedule.py
+++ b/src/marlramp/core/swap_schedule.py
@@ -60,7 +60,7 @@
     Args:
       copy_bytes: size of a version.
       link_bytes_per_s: rate of a VM's link.
-      bound_ms: time after its naming from which a version is mandatory.
+      bound_ms: time after its announcement from which a version is mandatory.
     """
     copy_ms = copy_bytes / link_bytes_per_s * clock.MILLIS_PER_SECOND
     pieces_ready_ms = TRANSFER_FACTOR * copy_ms + TRANSFER_DELAY_MS
@@ -127,7 +127,7 @@
 
     Args:
       schedule: the schedule of the version, None if the time at which the
-        version was named is unknown.
+        version was announced is unknown.
       position: position in the loading order, from 0 (first) to 1 (last).
       pieces_ready_ms: when the engine's pieces are complete.
 
--- a/src/marlramp/direct/pause_pages.py
+++ b/src/marlramp/direct/pause_pages.py
@@ -23,7 +23,7 @@
 
     Attributes:
       LEAVING: the replica announced that it shuts down.
-      PAUSED: the replica asked for a pause.
+      PAUSED: the replica requested a pause.
       REFUSING: the replica refused its last requests.
     """
 
--- a/src/marlramp/direct/weights/piece_exchange.py
+++ b/src/marlramp/direct/weights/piece_exchange.py
@@ -65,8 +65,8 @@
 """Time without a message after which a neighbour is removed from the swarm."""
 
 NEIGHBOURS_FIRST_MS = 800.0
-"""Time for which a starting agent fetches a version that was named earlier only
-from its neighbours: they hold it, unless all agents are new."""
+"""Time for which a starting agent fetches a version that was announced earlier
+only from its neighbours: they hold it, unless all agents are new."""
 
 NEIGHBOURS = 16
 """Agents that each agent is linked to, including links that the other side
@@ -250,7 +250,7 @@
 
         Args:
           wanted: the version.
-          is_new: whether it was named just now, so that no agent holds it.
+          is_new: whether it was announced just now, so that no agent holds it.
         """
         if wanted == self._wanted:
             return
--- a/src/marlramp/direct/weights/piece_relay.py
+++ b/src/marlramp/direct/weights/piece_relay.py
@@ -78,7 +78,7 @@
         ...
 
     def age_ms(self, wanted: version_digests.ModelVersion) -> float | None:
-        """Returns the time in ms since a version was named, None if unknown."""
+        """Returns the ms since a version was announced, None if unknown."""
         ...
 
     def send_piece_message(self, name: str, message: msgspec.Struct) -> bool:
@@ -87,7 +87,7 @@
         A link to an entry is opened if there is none.
 
         Returns:
-          Whether a link took the message.
+          Whether a link accepted the message.
         """
         ...
 
@@ -173,7 +173,7 @@
         self._origin_fetches.origin = origin
 
     def wake(self) -> None:
-        """Checks the named versions and the relaying entries at once."""
+        """Checks the announced versions and the relaying entries at once."""
         self._wake.set()
 
     async def run(self) -> None:
@@ -323,7 +323,7 @@
         version = self._versions.get(hello.manifest)
         if version is None:
             # An agent may lack a version that is not the newest, or another
-            # entry may have heard of a newer version first.
+            # entry may have learned of a newer version first.
             self._add_newest()
             wanted = version_digests.parse_name(hello.manifest)
             if wanted is None or wanted.model not in self._newest:
--- a/src/marlramp/direct/weights/rollout_times.py
+++ b/src/marlramp/direct/weights/rollout_times.py
@@ -42,10 +42,10 @@
         self._reached_ms.setdefault(phase, self._clock.now_ms())
 
     def log_rollout(self, age_ms: float | None, limit_ms: float | None) -> None:
-        """Logs the time of each phase, in ms since the version was heard of.
+        """Logs when each phase was reached, in ms since the version was known.
 
         Args:
-          age_ms: time since the version was named, None if unknown.
+          age_ms: time since the version was announced, None if unknown.
           limit_ms: least time in which this VM's link can carry the version and
             the engine can load it, None if unknown.
         """
--- a/src/marlramp/direct/weights/version_digests.py
+++ b/src/marlramp/direct/weights/version_digests.py
@@ -29,8 +29,8 @@
 
 RELAYS_QUERIED = 2
 """Relays that are queried in each interval instead of agents, if there are any.
-Relays know the digests soon after a version is named, and each reply has some
-kilobytes."""
+Relays know the digests soon after a version is announced, and each reply has
+some kilobytes."""
 
 FETCHERS_QUERIED = 2
 """Processes at the front of the order of requests to the origin that are
@@ -38,8 +38,8 @@
 
 PENDING_VERSIONS_MAX = 4
 """Maximum number of versions with pending requests of other processes: the
-versions that were named recently. Once it is reached, the next request discards
-all pending ones."""
+versions that were announced recently. Once it is reached, the next request
+discards all pending ones."""
 
 
 class Origin(Protocol):
--- a/src/marlramp/direct/weights/weights_loader.py
+++ b/src/marlramp/direct/weights/weights_loader.py
@@ -25,7 +25,7 @@
 from marlramp.platform import clients
 
 POLL_MS = 100.0
-"""Interval between checks of the engine and of the named version."""
+"""Interval between checks of the engine and of the announced version."""
 
 LOAD_POLL_MS = 25.0
 """Interval between checks while the engine loads; a check of the engine on the
@@ -138,11 +138,11 @@
         ...
 
     def is_new(self, wanted: version_digests.ModelVersion) -> bool:
-        """Returns whether a version was named just now."""
+        """Returns whether a version was announced just now."""
         ...
 
     def age_ms(self, wanted: version_digests.ModelVersion) -> float | None:
-        """Returns the time in ms since a version was named, None if unknown."""
+        """Returns the ms since a version was announced, None if unknown."""
         ...
 
     def limit_ms(self) -> float | None:
@@ -155,7 +155,7 @@
 
 
 class WeightsLoader:
-    """Keeps the engine on this VM at the named version.
+    """Keeps the engine on this VM at the announced version.
 
     Attributes:
       state: what the loader is doing.
@@ -205,7 +205,7 @@
         return self._pieces_ready_ms.get(wanted)
 
     async def run(self) -> None:
-        """Follows the named version until cancelled."""
+        """Follows the announced version until cancelled."""
         # This resets the state after an error too: the engine must not stay
         # closed for a load that will not happen.
         self._staged_version = None
--- a/tests/direct/conftest.py
+++ b/tests/direct/conftest.py
@@ -201,7 +201,7 @@
         self.routes = route_table.RouteTable(config)
 
     def name_version(self, version: int, age_ms: float) -> None:
-        """Adds a version of the weights that was named `age_ms` ago."""
+        """Adds a version of the weights that was announced `age_ms` ago."""
         target = fleet.WeightsTarget(model=ENGINE.model, version=version)
         ages = event_time.Ages(age_ms, age_ms)
         change = catalog.TargetChange(100 + version, target, ages)
