--- a/src/marlramp/direct/weights/weights_loader.py
+++ b/src/marlramp/direct/weights/weights_loader.py
@@ -25,7 +25,7 @@
 from marlramp.platform import clients
 
 POLL_MS = 100.0
-"""Interval between checks of the engine and of the named version."""
+"""Interval between checks of the engine and of the announced version."""
 
 LOAD_POLL_MS = 25.0
 """Interval between checks while the engine loads; a check of the engine on the
@@ -96,7 +96,7 @@
     LOADING = "loading"
 
 
-class Surroundings(Protocol):
+class AgentState(Protocol):
     """What the loader queries from the agent that it belongs to."""
 
     def wanted(self) -> version_digests.ModelVersion | None:
@@ -112,24 +112,24 @@
         ...
 
     def load_start_ms(
-        self, wanted: version_digests.ModelVersion, complete_ms: float
+        self, wanted: version_digests.ModelVersion, pieces_ready_ms: float
     ) -> float:
         """Returns the time from which on the engine may load a version.
 
         Args:
           wanted: the version.
-          complete_ms: time at which all its pieces were held.
+          pieces_ready_ms: time at which all its pieces were held.
         """
         ...
 
     def drain_ms(
-        self, wanted: version_digests.ModelVersion, complete_ms: float
+        self, wanted: version_digests.ModelVersion, pieces_ready_ms: float
     ) -> float:
         """Returns how many ms running requests may go on before the load.
 
         Args:
           wanted: the version.
-          complete_ms: time at which all its pieces were held.
+          pieces_ready_ms: time at which all its pieces were held.
         """
         ...
 
@@ -138,11 +138,11 @@
         ...
 
     def is_new(self, wanted: version_digests.ModelVersion) -> bool:
-        """Returns whether a version was named just now."""
+        """Returns whether a version was announced just now."""
         ...
 
     def age_ms(self, wanted: version_digests.ModelVersion) -> float | None:
-        """Returns the time in ms since a version was named, None if unknown."""
+        """Returns the ms since a version was announced, None if unknown."""
         ...
 
     def limit_ms(self) -> float | None:
@@ -155,7 +155,7 @@
 
 
 class WeightsLoader:
-    """Keeps the engine on this VM at the named version.
+    """Keeps the engine on this VM at the announced version.
 
     Attributes:
       state: what the loader is doing.
@@ -163,7 +163,7 @@
 
     def __init__(
         self,
-        surroundings: Surroundings,
+        agent: AgentState,
         engine: Engine,
         exchange: piece_exchange.PieceExchange,
         state_changed: Callable[[], None],
@@ -173,14 +173,14 @@
         """Starts idle; `run` starts the work.
 
         Args:
-          surroundings: the agent that the loader belongs to.
+          agent: the agent that the loader belongs to.
           engine: the engine on this VM.
           exchange: fetches the pieces.
           state_changed: called after each change of `state`.
           totals: counters.
           time: the clock.
         """
-        self._surroundings = surroundings
+        self._agent = agent
         self._engine = engine
         self._exchange = exchange
         self._state_changed = state_changed
@@ -191,25 +191,27 @@
         self._staged_born_ms: int | None = None
         self._verified_ms = float("-inf")
         self._times = rollout_times.RolloutTimes(time)
-        self._complete_ms: dict[version_digests.ModelVersion, float] = {}
+        self._pieces_ready_ms: dict[version_digests.ModelVersion, float] = {}
         self.state = LoaderState.IDLE
 
-    def complete_ms(self, wanted: version_digests.ModelVersion) -> float | None:
+    def pieces_ready_ms(
+        self, wanted: version_digests.ModelVersion
+    ) -> float | None:
         """Returns the time at which all pieces of a version were held first.
 
         Returns:
           The time in ms, None while pieces are missing.
         """
-        return self._complete_ms.get(wanted)
+        return self._pieces_ready_ms.get(wanted)
 
     async def run(self) -> None:
-        """Follows the named version until cancelled."""
+        """Follows the announced version until cancelled."""
         # This resets the state after an error too: the engine must not stay
         # closed for a load that will not happen.
         self._staged_version = None
         self._set_state(LoaderState.IDLE)
         while True:
-            wanted = self._surroundings.wanted()
+            wanted = self._agent.wanted()
             if wanted is None:
                 await asyncio.sleep(POLL_MS / _MS)
                 continue
@@ -228,10 +230,8 @@
         if chunk_set.held:
             self._times.record_phase(wanted, rollout_times.Phase.FIRST_PIECE)
         # Pieces are fetched while the engine starts, too.
-        self._exchange.start_fetch(
-            wanted, is_new=self._surroundings.is_new(wanted)
-        )
-        report = self._surroundings.report()
+        self._exchange.start_fetch(wanted, is_new=self._agent.is_new(wanted))
+        report = self._agent.report()
         if report is None:
             self._staged_version = None
             await asyncio.sleep(POLL_MS / _MS)
@@ -259,8 +259,8 @@
             return
         await self._stage_new(wanted, chunk_set)
         self._times.record_phase(wanted, rollout_times.Phase.COMPLETE)
-        if wanted not in self._complete_ms:
-            self._complete_ms = {wanted: self._clock.now_ms()}
+        if wanted not in self._pieces_ready_ms:
+            self._pieces_ready_ms = {wanted: self._clock.now_ms()}
         if self._may_load(wanted, report):
             await self._load(wanted, chunk_set, serving=report.weights > 0)
             return
@@ -325,8 +325,8 @@
             return False
         if report.weights == 0:
             return True
-        complete_ms = self._complete_ms[wanted]
-        start_ms = self._surroundings.load_start_ms(wanted, complete_ms)
+        pieces_ready_ms = self._pieces_ready_ms[wanted]
+        start_ms = self._agent.load_start_ms(wanted, pieces_ready_ms)
         return self._clock.now_ms() >= start_ms
 
     async def _load(
@@ -345,13 +345,13 @@
             requests are given time to end.
         """
         await self._repair_staged(wanted, chunk_set)
-        if self._surroundings.wanted() != wanted:
+        if self._agent.wanted() != wanted:
             return
         self._set_state(LoaderState.LOADING)
         if serving:
-            complete_ms = self._complete_ms[wanted]
-            await self._drain(self._surroundings.drain_ms(wanted, complete_ms))
-        report = await self._surroundings.read_report()
+            pieces_ready_ms = self._pieces_ready_ms[wanted]
+            await self._drain(self._agent.drain_ms(wanted, pieces_ready_ms))
+        report = await self._agent.read_report()
         if report is None or report.born_ms != self._staged_born_ms:
             self._set_state(LoaderState.IDLE)
             return
@@ -364,7 +364,7 @@
                 wanted.model,
                 wanted.version,
                 report.order_number,
-                cut=self._surroundings.may_cut(),
+                cut=self._agent.may_cut(),
             )
         except clients.OrderRefusedError as error:
             logs.log("load_refused", name=wanted.name, detail=error)
@@ -385,8 +385,8 @@
         if loaded:
             self._times.record_phase(wanted, rollout_times.Phase.LOADED)
             self._times.log_rollout(
-                self._surroundings.age_ms(wanted),
-                self._surroundings.limit_ms(),
+                self._agent.age_ms(wanted),
+                self._agent.limit_ms(),
             )
         self._set_state(LoaderState.IDLE)
 
@@ -395,7 +395,7 @@
         end_ms = self._clock.now_ms() + drain_ms
         await asyncio.sleep(CLOSE_NOTICE_MS / _MS)
         while self._clock.now_ms() < end_ms:
-            report = await self._surroundings.read_report()
+            report = await self._agent.read_report()
             if report is None or report.running + report.waiting == 0:
                 return
             await asyncio.sleep(LOAD_POLL_MS / _MS)
@@ -423,7 +423,7 @@
     async def _wait_loaded(self, wanted: version_digests.ModelVersion) -> bool:
         end_ms = self._clock.now_ms() + LOAD_TIMEOUT_MS
         while self._clock.now_ms() < end_ms:
-            report = await self._surroundings.read_report()
+            report = await self._agent.read_report()
             if report is None:
                 return False
             if report.weights == wanted.version:
