--- a/src/marlramp/direct/calls/attempts.py
+++ b/src/marlramp/direct/calls/attempts.py
@@ -123,7 +123,7 @@
             self._finish(
                 _failure(
                     errors.ErrorKind.ANSWER_INVALID,
-                    f"the answer exceeds {PLAIN_BODY_BYTES_MAX} bytes",
+                    "the answer is too large",
                     errors.Ran.YES,
                 )
             )
@@ -180,13 +180,13 @@
     if answer.status in _SUCCESS and (not answer.signed or answer.encoded):
         return _failure(
             errors.ErrorKind.ANSWER_INVALID,
-            "the answer is unsigned or encoded",
+            "the answer bears no proof of its replica",
             errors.Ran.YES,
         )
     if answer.status in _IMPLY_NOT_RUN:
         return _failure(
             errors.ErrorKind.UPSTREAM_FAILED,
-            f"status {answer.status} does not say that it did not run",
+            f"status {answer.status} without a word that it did not run",
             errors.Ran.UNKNOWN,
         )
     if answer.status >= _SERVER_ERROR_MIN:
