--- a/models/swap_permits.py
+++ b/models/swap_permits.py
@@ -356,8 +356,8 @@
 
     def __init__(self) -> None:
         self.time = clock.ManualClock()
-        self.desk = swap.PermitDesk(clock.Millis(float("-inf")))
-        self.round = swap.PermitRound(hold_max_ms=swap.HOLD_MIN_MS)
+        self.desk = swap.PermitIssuer(clock.Millis(float("-inf")))
+        self.round = swap.PermitCollector(hold_max_ms=swap.HOLD_MIN_MS)
         self.state = State()
         self.actions = {a.name: a for a in build(Rules()).actions}
 
@@ -373,7 +373,7 @@
         elif action == "tick":
             self.time.advance(_TICK_MS)
         elif action == "restart":
-            self.desk = swap.PermitDesk(now_ms)
+            self.desk = swap.PermitIssuer(now_ms)
         elif action == "entry_takes":
             self._entry_takes(before)
         elif action == "agent_takes":
@@ -391,7 +391,7 @@
 
     def _agent_takes(self, before: State) -> None:
         answer = before.to_agent[0]
-        returned = self.round.answered(
+        returned = self.round.handle_answer(
             _ENTRY,
             answer.number,
             answer.says,
@@ -413,14 +413,14 @@
             swap.Replica(_RIVAL, not state.rival_out),
             swap.Replica(ids.VmId("third"), True),
         ]
-        question = swap.Question(
+        question = swap.PermitRequest(
             vm_id,
             ids.ServiceId("pool"),
             ids.Incarnation(1),
             number,
             swap.HOLD_MIN_MS,
         )
-        return self.desk.ask(
+        return self.desk.try_issue(
             question,
             replicas,
             _OUT_FRACTION,
@@ -432,19 +432,19 @@
         """Returns the model state, whose round must stand as the real one."""
         state = self.state
         if state.phase is Phase.WAITING:
-            standing = self.round.standing([_ENTRY], self.time.now_ms())
+            standing = self.round.state([_ENTRY], self.time.now_ms())
             assert standing is _standing(state), (state, standing)
         return state
 
 
-def _standing(state: State) -> swap.Standing:
+def _standing(state: State) -> swap.AttemptState:
     if state.refused:
-        return swap.Standing.REFUSED
+        return swap.AttemptState.REFUSED
     if not _usable(state, Rules()):
-        return swap.Standing.OVER
+        return swap.AttemptState.OVER
     if state.granted:
-        return swap.Standing.PERMITTED
-    return swap.Standing.WAITING
+        return swap.AttemptState.PERMITTED
+    return swap.AttemptState.WAITING
 
 
 def _replay() -> int:
--- a/src/marlramp/core/queueing.py
+++ b/src/marlramp/core/queueing.py
@@ -1,4 +1,4 @@
-"""The entry's waiting requests: by priority, then fair among customers."""
+"""Queues an entry's waiting requests by priority, then fairly by customer."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 
 
 class Priority(enum.IntEnum):
-    """Priority of a request; a higher one is always served first."""
+    """Priority of a request. Higher priorities are always served first."""
 
     LOW = 0
     NORMAL = 1
     HIGH = 2
 
 
-class Waiting(msgspec.Struct, frozen=True):
-    """A request that waits for a grant.
+class WaitingRequest(msgspec.Struct, frozen=True):
+    """A request that waits for a grant, an agent's single-use permission.
 
     Attributes:
-      request_id: the request.
-      customer_id: whom it is for.
-      service_id: the service it needs.
-      priority: its priority.
-      cost: its expected work, in tokens, for fairness.
-      deadline_ms: entry clock reading of its deadline.
+      request_id: id of the request.
+      customer_id: the customer that sent the request.
+      service_id: the service that the request needs.
+      priority: priority of the request.
+      cost: expected work in tokens, by which customers share the service.
+      deadline_ms: reading of the entry's clock at which the request expires.
     """
 
     request_id: ids.RequestId
@@ -43,17 +43,27 @@
 class FairQueue:
     """Queue of one service, with start-time fair queueing per customer.
 
-    Each customer has a virtual time that grows by the cost of what it had
-    served; the customer with the lowest one goes next. A full queue evicts
-    from the customer with most waiting at the lowest priority, so one that
-    floods the queue only displaces its own requests.
+    Each customer has a virtual time that grows by the cost of each request
+    served. Among the customers with requests of the highest waiting priority,
+    the one with the lowest virtual time is served next.
+
+    A full queue evicts a request of the lowest priority, counting the new
+    request. Among the customers with requests of that priority, the one with
+    the most waiting requests of all priorities loses its latest one. Within one
+    priority, a customer that floods the queue therefore displaces only its own
+    requests; a flood of higher priority also displaces requests of lower
+    priority of other customers.
     """
 
     def __init__(self, length_max: int) -> None:
-        """Starts empty."""
+        """Creates an empty queue.
+
+        Args:
+          length_max: largest number of waiting requests.
+        """
         self.length_max = length_max
         self._lanes: dict[
-            tuple[Priority, ids.CustomerId], collections.deque[Waiting]
+            tuple[Priority, ids.CustomerId], collections.deque[WaitingRequest]
         ] = {}
         self._virtual: dict[ids.CustomerId, float] = {}
         self._virtual_now = 0.0
@@ -65,14 +75,14 @@
 
     def ahead(
         self, priority: Priority, customer_id: ids.CustomerId
-    ) -> list[Waiting]:
-        """Returns what would be served before a new request, roughly.
+    ) -> list[WaitingRequest]:
+        """Estimates which requests would be served before a new request.
 
-        That is all of higher priority, the customer's own of the same
-        priority, and as many of each other customer.
+        These are all requests of higher priority and, of equal priority, the
+        customer's own n requests and up to n + 1 of each other customer.
         """
         own = self._lanes.get((priority, customer_id), ())
-        found: list[Waiting] = []
+        found: list[WaitingRequest] = []
         for (other_priority, other_id), lane in self._lanes.items():
             if other_priority > priority or other_id == customer_id:
                 count = len(lane) if other_priority >= priority else 0
@@ -83,11 +93,12 @@
             found.extend(itertools.islice(lane, count))
         return found
 
-    def push(self, waiting: Waiting) -> Waiting | None:
+    def push(self, waiting: WaitingRequest) -> WaitingRequest | None:
         """Adds a request.
 
         Returns:
-          The request displaced by it, possibly itself, or None.
+          The request that was displaced to make room, which may be the added
+          one, or None.
         """
         displaced = None
         if self._length >= self.length_max:
@@ -102,8 +113,8 @@
         self._length += 1
         return displaced
 
-    def pop(self) -> Waiting | None:
-        """Removes and returns the request to serve next, or None."""
+    def pop(self) -> WaitingRequest | None:
+        """Removes and returns the request to serve next, None if empty."""
         if not self._lanes:
             return None
         top = max(priority for priority, _ in self._lanes)
@@ -117,14 +128,14 @@
         self._virtual[customer_id] += waiting.cost
         return waiting
 
-    def push_front(self, waiting: Waiting) -> None:
-        """Puts back a request that could not be started."""
+    def push_front(self, waiting: WaitingRequest) -> None:
+        """Puts back a popped request that could not be started."""
         key = (waiting.priority, waiting.customer_id)
         self._lanes.setdefault(key, collections.deque()).appendleft(waiting)
         self._length += 1
         self._virtual[waiting.customer_id] -= waiting.cost
 
-    def remove(self, waiting: Waiting) -> bool:
+    def remove(self, waiting: WaitingRequest) -> bool:
         """Removes a request; returns whether it was waiting."""
         lane = self._lanes.get((waiting.priority, waiting.customer_id))
         if lane is None or waiting not in lane:
@@ -132,8 +143,8 @@
         self._remove(waiting)
         return True
 
-    def expired(self, now_ms: clock.Millis) -> list[Waiting]:
-        """Removes and returns requests whose deadline has passed."""
+    def pop_expired(self, now_ms: clock.Millis) -> list[WaitingRequest]:
+        """Removes and returns the requests whose deadline has passed."""
         late = [
             waiting
             for lane in self._lanes.values()
@@ -144,7 +155,7 @@
             self._remove(waiting)
         return late
 
-    def _displace(self, newcomer: Waiting) -> Waiting:
+    def _displace(self, newcomer: WaitingRequest) -> WaitingRequest:
         counts: collections.Counter[ids.CustomerId] = collections.Counter()
         for (_, customer), lane in self._lanes.items():
             counts[customer] += len(lane)
@@ -164,7 +175,7 @@
         self._remove(displaced)
         return displaced
 
-    def _remove(self, waiting: Waiting) -> None:
+    def _remove(self, waiting: WaitingRequest) -> None:
         key = (waiting.priority, waiting.customer_id)
         lane = self._lanes[key]
         lane.remove(waiting)
--- a/src/marlramp/direct/weights/rollout_times.py
+++ b/src/marlramp/direct/weights/rollout_times.py
@@ -1,4 +1,4 @@
-"""When a version passed each step on its way into the engine on this VM."""
+"""Records when a version reached each phase of its rollout on this VM."""
 
 from __future__ import annotations
 
@@ -10,39 +10,56 @@
 
 
 class Phase(enum.Enum):
-    """Steps of a version, in their order."""
+    """Phases of the rollout of a version on this VM, in their order.
+
+    Attributes:
+      HEARD: the VM has learnt of the version.
+      DIGESTS: the digests of its pieces are known.
+      FIRST_PIECE: the first piece is held.
+      COMPLETE: all pieces are held and staged at the engine; logged as
+        `whole_ms`.
+      ORDERED: the engine was ordered to load the version.
+      LOADED: the engine has loaded the version.
+    """
 
     HEARD = "heard"
     DIGESTS = "digests"
     FIRST_PIECE = "first_piece"
-    WHOLE = "whole"
+    COMPLETE = "whole"
     ORDERED = "ordered"
     LOADED = "loaded"
 
 
 class RolloutTimes:
-    """Times of the version that is on its way."""
+    """Times of the version that is being rolled out."""
 
     def __init__(self, time: clock.Clock) -> None:
-        """Has seen no version."""
+        """Starts without a version."""
         self._clock = time
-        self._wanted: version_digests.Wanted | None = None
+        self._wanted: version_digests.ModelVersion | None = None
         self._reached_ms: dict[Phase, float] = {}
 
-    def reached(self, wanted: version_digests.Wanted, phase: Phase) -> None:
-        """Records that a version has reached a step, the first time it does."""
+    def record_phase(
+        self, wanted: version_digests.ModelVersion, phase: Phase
+    ) -> None:
+        """Records the time at which a version first reaches a phase.
+
+        The recorded times of another version are discarded. The time of the
+        first phase that is recorded is also the time of `Phase.HEARD`.
+        """
         if wanted != self._wanted:
             self._wanted = wanted
             self._reached_ms = {Phase.HEARD: self._clock.now_ms()}
         self._reached_ms.setdefault(phase, self._clock.now_ms())
 
-    def tell(self, age_ms: float | None, limit_ms: float | None) -> None:
-        """Logs the steps of the version that was loaded.
+    def log_rollout(self, age_ms: float | None, limit_ms: float | None) -> None:
+        """Logs the time of each phase, in ms since `Phase.HEARD`.
 
         Args:
-          age_ms: time since it was named, None if that is not known.
-          limit_ms: time in which the own link could have brought it and the
-            engine loaded it, None if that is not known.
+          age_ms: time since the version was announced to the fleet, None if
+            unknown.
+          limit_ms: least time in which this VM's link can carry the version and
+            the engine can load it, None if unknown.
         """
         if self._wanted is None:
             return
--- a/src/marlramp/experiments/overload.py
+++ b/src/marlramp/experiments/overload.py
@@ -16,7 +16,7 @@
 from marlramp import errors
 from marlramp import ids
 from marlramp.core import admission
-from marlramp.core import caller_waits
+from marlramp.core import caller_wait_estimate
 from marlramp.core import catalog
 from marlramp.core import cells
 from marlramp.core import fleet
@@ -26,7 +26,7 @@
 from marlramp.core import replica_view
 from marlramp.core import upstream_choice
 from marlramp.direct.calls import attempts
-from marlramp.direct.calls import named_limits
+from marlramp.direct.calls import rate_limits
 from marlramp.direct.calls import replica_observer
 from marlramp.direct.calls import replica_signals
 from marlramp.direct.calls import wire
@@ -94,9 +94,9 @@
         self.table = replica_table.ReplicaTable()
         self.table.sync(known, clock.Millis(now_ms))
         self.loads = peer_loads.PeerLoads(self.table)
-        self.news = peer_loads.LoadNews(self.table)
-        self.waits = caller_waits.CallerWaits(TIMEOUT_MS)
-        self.places = upstream_choice.Places({_data_centre(region)})
+        self.news = peer_loads.LoadUpdates(self.table)
+        self.waits = caller_wait_estimate.CallerWaitEstimate(TIMEOUT_MS)
+        self.places = upstream_choice.PreferredLocations({_data_centre(region)})
 
 
 def _data_centre(region: int) -> str:
@@ -212,7 +212,7 @@
         entry = self._rng.choice(self._entries)
         now_ms = self._time.now_ms()
         left_ms = caller.first_ms + caller.patience_ms - now_ms
-        wanted = upstream_choice.Wanted(
+        wanted = upstream_choice.RequestNeeds(
             engine=SPEC,
             prompt_tokens=caller.prompt_tokens,
             events=float(caller.events),
@@ -222,7 +222,7 @@
         request = admission.Request(
             wanted=wanted,
             elapsed_ms=entry.waits.spent_ms(left_ms),
-            stays_ms=min(left_ms, GAP_MAX_MS),
+            wait_max_ms=min(left_ms, GAP_MAX_MS),
             objective_ms=OBJECTIVE_MS,
             begun=self._plan.policy is overload_plan.Policy.SEND_ALL,
         )
@@ -256,14 +256,14 @@
         observer = replica_observer.ReplicaObserver(
             choice,
             caller.prompt_tokens,
-            named_limits.Unlimited(),
+            rate_limits.Unlimited(),
             self._signals,
             self._time,
         )
 
         def on_first() -> None:
             observer.on_answer(_answer(engine))
-            observer.on_first()
+            observer.on_first_event()
             took_ms = self._time.now_ms() - caller.first_ms
             if took_ms <= OBJECTIVE_MS:
                 self._second(caller).in_time += 1
@@ -271,10 +271,10 @@
                 self._second(caller).late += 1
 
         def on_end() -> None:
-            observer.ended(attempts.Outcome(failure=None), caller.events)
+            observer.record_end(attempts.Outcome(failure=None), caller.events)
 
         job = overload_engine.Job(
-            place=choice.place,
+            place=choice.position,
             sent_ms=self._time.now_ms(),
             unread_tokens=caller.prompt_tokens,
             events_left=caller.events,
@@ -285,7 +285,7 @@
         def on_gap() -> None:
             if not job.begun and not job.left:
                 job.left = True
-                observer.left()
+                observer.record_abandoned()
                 self._second(caller).left += 1
 
         self._in(WAY_MS, lambda: self._take(name, job, caller, observer))
@@ -304,7 +304,7 @@
             failure = errors.CallError(
                 errors.ErrorKind.UPSTREAM_BUSY, ran=errors.Ran.NO
             )
-            observer.ended(
+            observer.record_end(
                 attempts.Outcome(failure=failure, answer=_answer(engine)), None
             )
             self._come_back(caller, admission.RETRY_AFTER_MIN_MS)
@@ -361,7 +361,7 @@
         self, entry: _Entry, report: replica_view.LoadReport
     ) -> Callable[[], None]:
         def hear() -> None:
-            entry.table.report(report, self._time.now_ms())
+            entry.table.handle_report(report, self._time.now_ms())
 
         return hear
 
@@ -373,14 +373,14 @@
             self.load_messages += 1
             for other in self._entries:
                 if other is not entry and other.name in mates:
-                    other.loads.take(entry.name, news)
+                    other.loads.update(entry.name, news)
         self._in(EXCHANGE_MS, lambda: self._exchange(entry))
 
 
 def _answer(engine: overload_engine.Engine) -> wire.ReplicaAnswer:
     return wire.ReplicaAnswer(
         status=200 if engine.open else errors.MISDIRECTED,
-        mine=True,
+        matches_request=True,
         signed=True,
         not_run=not engine.open,
         encoded=False,
--- a/src/marlramp/protocol/fleet_messages.py
+++ b/src/marlramp/protocol/fleet_messages.py
@@ -40,15 +40,15 @@
       reply: whether the receiver is to introduce itself too.
     """
 
-    news: members.MemberNews
-    sample: list[members.MemberNews]
+    news: members.MemberUpdate
+    sample: list[members.MemberUpdate]
     reply: bool
 
 
 class MembersNews(_Message):
     """News of members that were new to the sender."""
 
-    news: list[members.MemberNews]
+    news: list[members.MemberUpdate]
 
 
 class Ping(_Message):
@@ -135,7 +135,7 @@
 class LimitNews(_Message):
     """Limits that replicas name, or name no more."""
 
-    limits: list[replica_limits.LimitNews]
+    limits: list[replica_limits.LimitUpdate]
 
 
 class LimitRequest(_Message):
@@ -158,7 +158,7 @@
     """
 
     number: int
-    limit: replica_limits.LimitNews
+    limit: replica_limits.LimitUpdate
     wait_max_ms: float
 
 
@@ -178,13 +178,13 @@
     wait_ms: float | None
     next_ms: float
     pause_ms: float
-    limit: replica_limits.LimitNews | None
+    limit: replica_limits.LimitUpdate | None
 
 
 class SendReserved(_Message):
     """Tells another entry that reserves for a replica of a request."""
 
-    limit: replica_limits.LimitNews
+    limit: replica_limits.LimitUpdate
 
 
 class StoreBeacon(_Message):
--- a/tests/core/test_agent_table.py
+++ b/tests/core/test_agent_table.py
@@ -39,16 +39,16 @@
 def table(time: clock.ManualClock) -> agent_table.AgentTable:
     result = agent_table.AgentTable(lambda _: SETTINGS)
     for number in range(4):
-        result.report(report(number), time.now_ms())
+        result.handle_report(report(number), time.now_ms())
     for info in result:
-        info.ahead = False
+        info.settings_ahead = False
     return result
 
 
 def grant(
     table: agent_table.AgentTable, number: int, now_ms: clock.Millis
 ) -> None:
-    table.wallet.add(
+    table.grant_pool.add(
         ids.VmId(f"vm-{number}"),
         ids.Incarnation(1),
         [ids.GrantNumber(1)],
@@ -65,7 +65,7 @@
         info.breaker.record_failure(now_ms)
 
 
-def test_only_free_upstream_is_not_used_while_its_breaker_is_open(
+def test_open_breaker_excludes_even_the_only_free_upstream(
     table: agent_table.AgentTable, time: clock.ManualClock, rng: random.Random
 ) -> None:
     grant(table, 0, time.now_ms())
@@ -88,37 +88,37 @@
     table: agent_table.AgentTable, time: clock.ManualClock
 ) -> None:
     grant(table, 1, time.now_ms())
-    assert table.report(report(1, incarnation=2), time.now_ms())
-    assert table.wallet.count(ids.VmId("vm-1"), time.now_ms()) == 0
+    assert table.handle_report(report(1, incarnation=2), time.now_ms())
+    assert table.grant_pool.count(ids.VmId("vm-1"), time.now_ms()) == 0
 
 
-def test_agent_with_newer_settings_gets_no_work(
+def test_agent_with_newer_settings_is_sent_no_work(
     table: agent_table.AgentTable, time: clock.ManualClock
 ) -> None:
     grant(table, 2, time.now_ms())
     info = table.get(ids.VmId("vm-2"))
     assert info is not None
-    info.ahead = True
+    info.settings_ahead = True
     assert table.candidates(POOL, ANY, "", time.now_ms()) == []
 
 
-def test_silent_agents_are_found(
+def test_agents_that_time_out_are_found(
     table: agent_table.AgentTable, time: clock.ManualClock
 ) -> None:
     time.advance(agent_table.HEARD_TIMEOUT_MS + 1)
-    table.heard(ids.VmId("vm-3"), time.now_ms())
-    assert len(table.silent(time.now_ms())) == 3
+    table.record_message(ids.VmId("vm-3"), time.now_ms())
+    assert len(table.timed_out(time.now_ms())) == 3
 
 
-def test_changed_breaker_settings_hold_for_known_agents(
+def test_changed_breaker_settings_apply_to_known_agents(
     time: clock.ManualClock,
 ) -> None:
     values = [SETTINGS]
     table = agent_table.AgentTable(lambda _: values[-1])
-    table.report(report(0), time.now_ms())
+    table.handle_report(report(0), time.now_ms())
     info = table.get(ids.VmId("vm-0"))
     assert info is not None
     values.append(schema.Settings(breaker_failures_max=1))
-    table.settings_changed()
+    table.apply_settings()
     info.breaker.record_failure(time.now_ms())
     assert not info.breaker.allows(time.now_ms())
--- a/tests/direct/weights/test_piece_ticks.py
+++ b/tests/direct/weights/test_check_loop.py
@@ -16,7 +16,7 @@
 from marlramp.protocol import messages
 
 PIECES = [b"0", b"1"]
-WANTED = version_digests.Wanted("m", 2)
+WANTED = version_digests.ModelVersion("m", 2)
 FOUND = manifest.Manifest(
     model="m",
     version="2",
@@ -28,7 +28,7 @@
 
 
 class Origin:
-    """Tells the digests at once."""
+    """Returns the digests at once."""
 
     async def manifest(self, model: str, version: int) -> manifest.Manifest:
         return FOUND
@@ -55,27 +55,27 @@
     )
     found.set_origin(Origin())
     asyncio.run(found.find_manifest(WANTED))
-    found.want(WANTED, is_new=False)
+    found.start_fetch(WANTED, is_new=False)
     return found
 
 
-def test_agent_that_wants_nothing_seldom_looks(
+def test_idle_agent_checks_seldom(
     time: clock.ManualClock,
 ) -> None:
     idle = piece_exchange.PieceExchange(
         agent("vm-1"), 1e6, counters.Counters(), time
     )
-    assert idle._wait_ms == piece_exchange.SETTLED_TICK_MS
+    assert idle._wait_ms == piece_exchange.IDLE_TICK_MS
 
 
-def test_agent_looks_often_until_it_holds_all_pieces(
+def test_agent_checks_often_until_it_holds_all_pieces(
     exchange: piece_exchange.PieceExchange,
 ) -> None:
     assert exchange._wait_ms == piece_exchange.TICK_MS
     for index, piece in enumerate(PIECES):
         assert exchange._wait_ms == piece_exchange.TICK_MS
         exchange.add(WANTED, index, piece)
-    assert exchange._wait_ms == piece_exchange.SETTLED_TICK_MS
+    assert exchange._wait_ms == piece_exchange.IDLE_TICK_MS
 
 
 def test_neighbour_that_lacks_pieces_ends_the_wait(
--- a/tests/entry/test_run_watch.py
+++ b/tests/entry/test_lost_run_detector.py
@@ -1,4 +1,4 @@
-"""Calls whose run never reached its agent."""
+"""Detection of runs whose messages were lost on the link to the agent."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 from marlramp.core import queueing
 from marlramp.core import run_tokens
 from marlramp.entry import admission
+from marlramp.entry import agent_queries
 from marlramp.entry import dispatcher
-from marlramp.entry import questions
-from marlramp.entry import run_watch
+from marlramp.entry import lost_run_detector
 from marlramp.experiments import documents
 from marlramp.protocol import messages
 from marlramp.settings import store
@@ -34,7 +34,7 @@
 
 
 class Agent:
-    """An agent as an entry's link sees it; keeps what was sent."""
+    """Fake sender that records the messages to an agent."""
 
     def __init__(self) -> None:
         self.sent: list[messages.FromEntry] = []
@@ -47,12 +47,12 @@
     def runs(self) -> list[messages.Run]:
         return [m for m in self.sent if isinstance(m, messages.Run)]
 
-    def asked(self) -> list[messages.RunQuery]:
+    def queries(self) -> list[messages.RunQuery]:
         return [m for m in self.sent if isinstance(m, messages.RunQuery)]
 
 
 class Entry:
-    """A dispatcher with one call under way at one agent."""
+    """A dispatcher with one call in progress at one agent."""
 
     def __init__(self) -> None:
         self.time = clock.ManualClock()
@@ -72,14 +72,14 @@
             settings.offer(messages.Document(key, 1, text))
         table = agent_table.AgentTable(settings.tree.effective)
         rng = random.Random(1)
-        self.questions = questions.Questions(
+        self.agent_queries = agent_queries.AgentQueries(
             ids.VmId("entry-0"), table, self.agent, rng
         )
         self.dispatcher = dispatcher.Dispatcher(
             settings,
             table,
             admission.Admission(settings, table),
-            self.questions,
+            self.agent_queries,
             self.agent,
             counters.Counters(),
             self.time,
@@ -102,25 +102,25 @@
         )
         self.call = self.dispatcher.submit(spec, TOKEN)
 
-    async def pass_silence(self) -> None:
-        """Lets the time pass after which an agent is asked."""
-        self.time.advance(run_watch.SILENT_RUN_MS)
+    async def advance_past_silence(self) -> None:
+        """Advances the clock until the agent is queried, and ticks once."""
+        self.time.advance(lost_run_detector.RUN_SILENCE_MAX_MS)
         self.dispatcher.tick()
         await asyncio.sleep(0)
 
-    async def answer(self, state: grants.RunState) -> None:
-        """Has the agent tell what became of the run."""
-        question = self.agent.asked()[-1]
-        self.questions.on_reply(
-            messages.RunStatus(request_id=question.request_id, state=state)
+    async def reply_with(self, state: grants.RunState) -> None:
+        """Replies to the latest query with a state of the run."""
+        query = self.agent.queries()[-1]
+        self.agent_queries.handle_reply(
+            messages.RunStatus(request_id=query.request_id, state=state)
         )
         for _ in range(5):
             await asyncio.sleep(0)
 
 
-def play(use: Callable[[Entry], Awaitable[None]]) -> None:
+def run_scenario(scenario: Callable[[Entry], Awaitable[None]]) -> None:
     async def main() -> None:
-        await use(Entry())
+        await scenario(Entry())
 
     asyncio.run(main())
 
@@ -128,13 +128,13 @@
 @pytest.mark.parametrize(
     "state", [grants.RunState.NOT_STARTED, grants.RunState.SUCCEEDED]
 )
-def test_run_that_a_link_lost_is_sent_again(state: grants.RunState) -> None:
-    """An entry that was suspended waited for its deadline."""
+def test_run_lost_by_a_link_is_resent(state: grants.RunState) -> None:
+    """After a suspension of its VM an entry waited for the call's deadline."""
 
-    async def use(entry: Entry) -> None:
+    async def scenario(entry: Entry) -> None:
         assert len(entry.agent.runs()) == 1
-        await entry.pass_silence()
-        await entry.answer(state)
+        await entry.advance_past_silence()
+        await entry.reply_with(state)
         first, second = entry.agent.runs()
         assert (second.number, second.request_id) == (
             first.number,
@@ -142,19 +142,19 @@
         )
         assert not entry.call.ended
 
-    play(use)
+    run_scenario(scenario)
 
 
-def test_run_that_goes_on_is_not_sent_again() -> None:
-    async def use(entry: Entry) -> None:
+def test_running_run_is_not_resent() -> None:
+    async def scenario(entry: Entry) -> None:
         for _ in range(3):
-            await entry.pass_silence()
-            await entry.answer(grants.RunState.RUNNING)
-        assert len(entry.agent.asked()) == 3
+            await entry.advance_past_silence()
+            await entry.reply_with(grants.RunState.RUNNING)
+        assert len(entry.agent.queries()) == 3
         assert len(entry.agent.runs()) == 1
         assert not entry.call.ended
 
-    play(use)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -164,25 +164,25 @@
         (grants.RunState.UNKNOWN, errors.Ran.UNKNOWN),
     ],
 )
-def test_run_that_can_not_start_any_more_ends_at_once(
+def test_void_or_unknown_run_fails_at_once(
     state: grants.RunState, ran: errors.Ran
 ) -> None:
-    async def use(entry: Entry) -> None:
-        await entry.pass_silence()
-        await entry.answer(state)
+    async def scenario(entry: Entry) -> None:
+        await entry.advance_past_silence()
+        await entry.reply_with(state)
         assert entry.call.ended
         assert entry.call.failure is not None
         assert entry.call.failure.ran is ran
         assert len(entry.agent.runs()) == 1
 
-    play(use)
+    run_scenario(scenario)
 
 
-def test_agent_that_does_not_answer_is_asked_again() -> None:
-    async def use(entry: Entry) -> None:
-        await entry.pass_silence()
-        await entry.pass_silence()
-        assert len(entry.agent.asked()) == 2
+def test_silent_agent_is_queried_again() -> None:
+    async def scenario(entry: Entry) -> None:
+        await entry.advance_past_silence()
+        await entry.advance_past_silence()
+        assert len(entry.agent.queries()) == 2
         assert not entry.call.ended
 
-    play(use)
+    run_scenario(scenario)
